--- a/crates/jacinthbeam-crash/src/cases.rs
+++ b/crates/jacinthbeam-crash/src/cases.rs
@@ -21,7 +21,7 @@
 /// How long a request stays suspect after the last crash under it.
 pub const DOUBTED_FOR: Duration = Duration::from_secs(10 * 60);
 
-/// How long a request is refused after the last crash under it. Then [`PROOF`](crate::suspects::PROOF) further crashes are needed, in case it
+/// How long a request is refused after the last crash under it. Then [`QUARANTINE_THRESHOLD`](crate::suspects::QUARANTINE_THRESHOLD) further crashes are needed, in case it
 /// was fixed.
 pub const REFUSED_FOR: Duration = Duration::from_secs(60 * 60);
 
--- a/crates/jacinthbeam-crash/src/suspects.rs
+++ b/crates/jacinthbeam-crash/src/suspects.rs
@@ -14,13 +14,13 @@
 ///
 /// At most one of the requests that run on a server causes its crash. The others are on a second server that crashes now and then, and on a
 /// third hardly ever without having succeeded in between.
-pub const PROOF: usize = 3;
+pub const QUARANTINE_THRESHOLD: usize = 3;
 
 /// Time that has to lie between the first and the last of them.
 ///
 /// Servers that crash together share a cause such as power, a rack or a bad release, and a popular request runs on several of them. Within this
 /// time it has succeeded elsewhere and most hosts have observed that.
-pub const SPAN: Duration = Duration::from_millis(700);
+pub const MIN_CRASH_SPAN: Duration = Duration::from_millis(700);
 
 /// A request under which servers crashed since it was last cleared.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -49,12 +49,14 @@
 
     /// Whether it is refused, for some callers at least.
     pub fn is_proven(&self) -> bool {
-        self.servers.len() >= PROOF && self.last.saturating_duration_since(self.first) >= SPAN
+        self.servers.len() >= QUARANTINE_THRESHOLD
+            && self.last.saturating_duration_since(self.first) >= MIN_CRASH_SPAN
     }
 
     /// Whether the request is on probation: one more crash may be enough to refuse it, so attempts are rate-limited fleet-wide.
     pub fn is_on_probation(&self) -> bool {
-        let is_doubted = self.attempts >= PROOF || self.servers.len() + 1 >= PROOF;
+        let is_doubted =
+            self.attempts >= QUARANTINE_THRESHOLD || self.servers.len() + 1 >= QUARANTINE_THRESHOLD;
         let is_answered = self.served.is_some_and(|served| served > self.last);
         is_doubted && !is_answered
     }
--- a/crates/jacinthbeam-crash/tests/cases.rs
+++ b/crates/jacinthbeam-crash/tests/cases.rs
@@ -9,7 +9,7 @@
     Cases, Fact, Fingerprint, Outcome, Source,
     cases::{DOUBTED_FOR, MOST_CASES, REFUSED_FOR},
     fingerprint::Head,
-    suspects::SPAN,
+    suspects::MIN_CRASH_SPAN,
 };
 use jacinthbeam_types::prelude::*;
 
@@ -36,7 +36,7 @@
 
 /// So many servers ended one after the other.
 fn ended_in_turn(of: usize, by: u8, servers: u32, from: Instant) -> Vec<Fact> {
-    (1..=servers).map(|n| ended(of, by, n, from + SPAN * n)).collect()
+    (1..=servers).map(|n| ended(of, by, n, from + MIN_CRASH_SPAN * n)).collect()
 }
 
 /// Facts that were seen here.
@@ -66,7 +66,7 @@
 #[test]
 fn a_server_counts_once_however_many_hosts_saw_it_end() {
     let now = Instant::now();
-    let facts = (0..9).map(|n| ended(1, n % 3, 1, now + SPAN * u32::from(n)));
+    let facts = (0..9).map(|n| ended(1, n % 3, 1, now + MIN_CRASH_SPAN * u32::from(n)));
     let cases = cases(facts, now);
     assert!((0..3).all(|by| !is_refused(&cases, 1, by)));
 }
@@ -79,7 +79,7 @@
     let together = (1..40).map(|n| ended(1, 1, n, now + Duration::from_millis(u64::from(n))));
     let mut cases = cases(together, now);
     assert!(!is_refused(&cases, 1, 1));
-    cases.take(ended(1, 1, 40, now + SPAN + Duration::from_millis(1)), Source::Seen, now);
+    cases.take(ended(1, 1, 40, now + MIN_CRASH_SPAN + Duration::from_millis(1)), Source::Seen, now);
     assert!(is_refused(&cases, 1, 1));
 }
 
@@ -90,7 +90,7 @@
     let lives = [1, 2, 3].map(|born| ServerId::new("s1".parse().unwrap(), Some(Born(born))));
     let facts = lives.map(|server| Fact {
         request: request(1),
-        at: now + SPAN * server.born().map_or(0, |born| born.0 as u32),
+        at: now + MIN_CRASH_SPAN * server.born().map_or(0, |born| born.0 as u32),
         outcome: Outcome::Crashed { server, caller: caller(1) },
     });
     assert!(is_refused(&cases(facts, now), 1, 1));
@@ -143,7 +143,7 @@
 fn doubt_and_refusal_end() {
     let now = Instant::now();
     let mut cases = cases([ended(1, 1, 1, now)], now);
-    let times = [now - SPAN, now, now];
+    let times = [now - MIN_CRASH_SPAN, now, now];
     for (n, at) in (1..).zip(times) {
         cases.take(ended(2, 1, n, at), Source::Seen, now);
     }
@@ -181,10 +181,19 @@
 #[test]
 fn a_crash_that_was_cleared_does_not_come_back() {
     let now = Instant::now();
-    let mut cases = cases([ended(1, 1, 1, now), served(1, 1, now + SPAN)], now + SPAN);
+    let mut cases =
+        cases([ended(1, 1, 1, now), served(1, 1, now + MIN_CRASH_SPAN)], now + MIN_CRASH_SPAN);
     assert!(cases.suspects().is_empty());
-    assert!(!cases.take(ended(1, 1, 1, now + SPAN * 2), Source::Seen, now + SPAN * 2));
-    assert!(cases.take(ended(1, 1, 2, now + SPAN * 2), Source::Seen, now + SPAN * 2));
+    assert!(!cases.take(
+        ended(1, 1, 1, now + MIN_CRASH_SPAN * 2),
+        Source::Seen,
+        now + MIN_CRASH_SPAN * 2
+    ));
+    assert!(cases.take(
+        ended(1, 1, 2, now + MIN_CRASH_SPAN * 2),
+        Source::Seen,
+        now + MIN_CRASH_SPAN * 2
+    ));
     assert_eq!(cases.servers(&request(1)), 1);
 }
 
--- a/crates/jacinthbeam-crash/tests/evidence.rs
+++ b/crates/jacinthbeam-crash/tests/evidence.rs
@@ -10,7 +10,7 @@
     cases::{DOUBTED_FOR, REFUSED_FOR},
     evidence::MOST_RECORDED,
     fingerprint::Head,
-    suspects::SPAN,
+    suspects::MIN_CRASH_SPAN,
 };
 use jacinthbeam_types::prelude::*;
 
@@ -36,9 +36,9 @@
 /// What a host records that saw so many servers crash under one request, and when the last did.
 fn record_of(crashes: usize) -> (Evidence, Instant) {
     let (mut host, now) = (host("a", 1), Instant::now());
-    let last = now + SPAN * crashes as u32;
+    let last = now + MIN_CRASH_SPAN * crashes as u32;
     for n in 1..=crashes {
-        host.see(ended(1, n, now + SPAN * n as u32), last);
+        host.see(ended(1, n, now + MIN_CRASH_SPAN * n as u32), last);
     }
     (host.take_record(last, SystemTime::UNIX_EPOCH).unwrap(), last)
 }
@@ -146,7 +146,7 @@
     let (mut a, now) = (host("a", 1), Instant::now());
     let addr = SocketAddr::new(CALLER, 1);
     for n in 1..=3 {
-        a.see(ended(1, n, now + SPAN * n as u32), now + SPAN * 3);
+        a.see(ended(1, n, now + MIN_CRASH_SPAN * n as u32), now + MIN_CRASH_SPAN * 3);
     }
     let now = now + DOUBTED_FOR * 2;
     a.forget(now);
@@ -164,9 +164,9 @@
         host.see(ended(0, n, now), now);
     }
     for of in 1..=2 * MOST_RECORDED {
-        host.see(ended(of, 1000 + of, now + SPAN), now + SPAN);
+        host.see(ended(of, 1000 + of, now + MIN_CRASH_SPAN), now + MIN_CRASH_SPAN);
     }
-    let record = host.take_record(now + SPAN, SystemTime::UNIX_EPOCH).unwrap();
+    let record = host.take_record(now + MIN_CRASH_SPAN, SystemTime::UNIX_EPOCH).unwrap();
     assert_eq!(record.facts.len(), MOST_RECORDED);
     assert_eq!(record.facts.iter().filter(|fact| fact.request == request(0)).count(), 2);
 }
--- a/crates/jacinthbeam-host/src/request/crash.rs
+++ b/crates/jacinthbeam-host/src/request/crash.rs
@@ -11,7 +11,7 @@
     time::{Duration, Instant},
 };
 
-use jacinthbeam_crash::{Fact, Fingerprint, Outcome, suspects::PROOF};
+use jacinthbeam_crash::{Fact, Fingerprint, Outcome, suspects::QUARANTINE_THRESHOLD};
 use jacinthbeam_route::Server;
 use jacinthbeam_types::prelude::*;
 use tokio::task::spawn_local;
@@ -70,7 +70,7 @@
         }
         let request = same::fingerprint_among(&view.suspects, self.whole);
         let known = request.map_or(0, |request| view.suspects.crashed_under(&request, self.caller));
-        known.max(ended.len()) + 1 < PROOF
+        known.max(ended.len()) + 1 < QUARANTINE_THRESHOLD
     }
 
     /// Takes note of what a send says of its server. Returns whether the server is known to have ended under the request.
