--- a/crates/jacinthbeam-crash/src/cases.rs
+++ b/crates/jacinthbeam-crash/src/cases.rs
@@ -19,14 +19,14 @@
 };
 
 /// How long a request stays suspect after the last crash under it.
-pub const DOUBTED_FOR: Duration = Duration::from_secs(10 * 60);
+pub const SUSPICION_TTL: Duration = Duration::from_secs(10 * 60);
 
 /// How long a request is refused after the last crash under it. Then [`QUARANTINE_THRESHOLD`](crate::suspects::QUARANTINE_THRESHOLD) further crashes are needed, in case it
 /// was fixed.
-pub const REFUSED_FOR: Duration = Duration::from_secs(60 * 60);
+pub const QUARANTINE_TTL: Duration = Duration::from_secs(60 * 60);
 
 /// Requests that are kept. Those with the fewest crashes are evicted first, then the oldest.
-pub const MOST_CASES: usize = 1024;
+pub const MAX_CASES: usize = 1024;
 
 /// Facts that are kept of one request; more of them would change nothing.
 const MOST_OF_ONE: usize = 16;
@@ -152,7 +152,7 @@
 
     fn is_over(&self, now: Instant) -> bool {
         let is_refused = self.suspect().is_some_and(|suspect| suspect.is_proven());
-        let kept = if is_refused { REFUSED_FOR } else { DOUBTED_FOR };
+        let kept = if is_refused { QUARANTINE_TTL } else { SUSPICION_TTL };
         self.last().is_none_or(|last| now.saturating_duration_since(last) >= kept)
     }
 
@@ -230,7 +230,7 @@
     }
 
     fn make_room(&mut self) {
-        while self.of.len() > MOST_CASES {
+        while self.of.len() > MAX_CASES {
             let least = self.of.iter().min_by_key(|(_, case)| (case.servers(), case.last()));
             let Some(least) = least.map(|(request, _)| *request) else { return };
             self.of.remove(&least);
--- a/crates/jacinthbeam-crash/src/evidence.rs
+++ b/crates/jacinthbeam-crash/src/evidence.rs
@@ -7,7 +7,7 @@
 use crate::cases::{Aged, Fact};
 
 /// Facts of one record, of up to some 70 bytes each.
-pub const MOST_RECORDED: usize = 128;
+pub const MAX_FACTS_PER_RECORD: usize = 128;
 
 /// The record of one host.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/jacinthbeam-crash/src/exchange.rs
+++ b/crates/jacinthbeam-crash/src/exchange.rs
@@ -14,12 +14,12 @@
 
 use crate::{
     cases::{Aged, Cases, Fact, Position, Source},
-    evidence::{Evidence, MOST_RECORDED},
+    evidence::{Evidence, MAX_FACTS_PER_RECORD},
     suspects::Suspects,
 };
 
 /// Facts of one message, of up to some 70 bytes each.
-pub const MOST_TOLD: usize = 256;
+pub const MAX_FACTS_PER_MESSAGE: usize = 256;
 
 /// Hosts that are remembered as told and heard; a host asks a few of its own failure domain and one of each other.
 const MOST_PEERS: usize = 128;
@@ -129,7 +129,7 @@
         if !std::mem::take(&mut self.is_record_due) {
             return None;
         }
-        let facts = aged(self.cases.weightiest(MOST_RECORDED), now);
+        let facts = aged(self.cases.weightiest(MAX_FACTS_PER_RECORD), now);
         Some(Evidence { written: time_of_day, facts })
     }
 
@@ -138,7 +138,7 @@
         let peer = self.peers.get(&to);
         let told = peer.and_then(|peer| peer.told).map_or(Position::default(), |(_, end)| end);
         let host = peer.and_then(|peer| peer.host.as_ref());
-        let (facts, end) = self.cases.since(told, host, MOST_TOLD);
+        let (facts, end) = self.cases.since(told, host, MAX_FACTS_PER_MESSAGE);
         let knows = peer.and_then(|peer| peer.heard);
         Question { from: self.me.clone(), knows, facts: aged(facts, now), end }
     }
@@ -150,7 +150,7 @@
         self.note_to_tell(adds);
         let known = question.knows.filter(|(life, _)| *life == self.life);
         let known = known.map_or(Position::default(), |(_, end)| end);
-        let (facts, end) = self.cases.since(known, Some(&question.from), MOST_TOLD);
+        let (facts, end) = self.cases.since(known, Some(&question.from), MAX_FACTS_PER_MESSAGE);
         let facts = aged(facts, now);
         Answer { from: self.me.clone(), life: self.life, facts, end, taken: question.end }
     }
--- a/crates/jacinthbeam-crash/src/recent.rs
+++ b/crates/jacinthbeam-crash/src/recent.rs
@@ -18,7 +18,7 @@
 };
 
 /// How long an answer is kept: hosts in touch observe a crash within this time.
-pub const KEPT_FOR: Duration = Duration::from_secs(3);
+pub const RETENTION: Duration = Duration::from_secs(3);
 
 /// Answers that are kept.
 const MOST_ANSWERS: usize = 4096;
@@ -40,7 +40,7 @@
 impl RecentAnswers {
     /// A request of `caller` ran to a good end.
     pub fn add(&mut self, head: Head, body: Bytes, caller: IpAddr, at: Instant) {
-        let is_old = |answer: &Answer| at.saturating_duration_since(answer.at) >= KEPT_FOR;
+        let is_old = |answer: &Answer| at.saturating_duration_since(answer.at) >= RETENTION;
         while self.of.len() >= MOST_ANSWERS || self.of.front().is_some_and(is_old) {
             self.of.pop_front();
         }
--- a/crates/jacinthbeam-crash/tests/cases.rs
+++ b/crates/jacinthbeam-crash/tests/cases.rs
@@ -7,7 +7,7 @@
 
 use jacinthbeam_crash::{
     Cases, Fact, Fingerprint, Outcome, Source,
-    cases::{DOUBTED_FOR, MOST_CASES, REFUSED_FOR},
+    cases::{MAX_CASES, QUARANTINE_TTL, SUSPICION_TTL},
     fingerprint::Head,
     suspects::MIN_CRASH_SPAN,
 };
@@ -147,13 +147,13 @@
     for (n, at) in (1..).zip(times) {
         cases.take(ended(2, 1, n, at), Source::Seen, now);
     }
-    assert!(cases.forget(now + DOUBTED_FOR));
+    assert!(cases.forget(now + SUSPICION_TTL));
     assert!(cases.suspects().get(&request(1)).is_none());
     assert!(is_refused(&cases, 2, 1));
-    assert!(!cases.forget(now + REFUSED_FOR - Duration::from_secs(1)));
-    assert!(cases.forget(now + REFUSED_FOR) && cases.suspects().is_empty());
+    assert!(!cases.forget(now + QUARANTINE_TTL - Duration::from_secs(1)));
+    assert!(cases.forget(now + QUARANTINE_TTL) && cases.suspects().is_empty());
     let old = ended(1, 1, 1, now);
-    assert!(!cases.take(old, Source::Seen, now + DOUBTED_FOR), "what is forgotten comes back");
+    assert!(!cases.take(old, Source::Seen, now + SUSPICION_TTL), "what is forgotten comes back");
 }
 
 /// A failure domain loses its power, and thousands of requests were running there. The memory is bounded, and the request that is refused stays.
@@ -161,11 +161,11 @@
 fn a_refused_request_outlasts_any_number_of_doubted_ones() {
     let now = Instant::now();
     let mut cases = cases(ended_in_turn(0, 1, 3, now), now);
-    for of in 1..2 * MOST_CASES {
+    for of in 1..2 * MAX_CASES {
         cases.take(ended(of, 1, 9, now + Duration::from_secs(10)), Source::Seen, now);
     }
     assert!(is_refused(&cases, 0, 1));
-    assert_eq!(cases.suspects().iter().count(), MOST_CASES);
+    assert_eq!(cases.suspects().iter().count(), MAX_CASES);
 }
 
 #[test]
--- a/crates/jacinthbeam-crash/tests/evidence.rs
+++ b/crates/jacinthbeam-crash/tests/evidence.rs
@@ -7,8 +7,8 @@
 
 use jacinthbeam_crash::{
     Evidence, Exchange, Fact, Fingerprint, Outcome,
-    cases::{DOUBTED_FOR, REFUSED_FOR},
-    evidence::MOST_RECORDED,
+    cases::{QUARANTINE_TTL, SUSPICION_TTL},
+    evidence::MAX_FACTS_PER_RECORD,
     fingerprint::Head,
     suspects::MIN_CRASH_SPAN,
 };
@@ -128,7 +128,7 @@
 /// Guards against doubt that outlasts its time because it was read back.
 #[test]
 fn old_evidence_is_forgotten_when_it_is_read() {
-    for (crashes, kept) in [(2, DOUBTED_FOR), (3, REFUSED_FOR)] {
+    for (crashes, kept) in [(2, SUSPICION_TTL), (3, QUARANTINE_TTL)] {
         let (record, last) = record_of(crashes);
         for (since, counted) in [(kept - Duration::from_secs(1), crashes), (kept, 0)] {
             let mut other = host("b", 1);
@@ -148,7 +148,7 @@
     for n in 1..=3 {
         a.see(ended(1, n, now + MIN_CRASH_SPAN * n as u32), now + MIN_CRASH_SPAN * 3);
     }
-    let now = now + DOUBTED_FOR * 2;
+    let now = now + SUSPICION_TTL * 2;
     a.forget(now);
     let mut late = host("b", 1);
     late.on_answer(addr, a.answer(&late.question(addr, now), now), now);
@@ -163,11 +163,11 @@
     for n in 1..=2 {
         host.see(ended(0, n, now), now);
     }
-    for of in 1..=2 * MOST_RECORDED {
+    for of in 1..=2 * MAX_FACTS_PER_RECORD {
         host.see(ended(of, 1000 + of, now + MIN_CRASH_SPAN), now + MIN_CRASH_SPAN);
     }
     let record = host.take_record(now + MIN_CRASH_SPAN, SystemTime::UNIX_EPOCH).unwrap();
-    assert_eq!(record.facts.len(), MOST_RECORDED);
+    assert_eq!(record.facts.len(), MAX_FACTS_PER_RECORD);
     assert_eq!(record.facts.iter().filter(|fact| fact.request == request(0)).count(), 2);
 }
 
--- a/crates/jacinthbeam-crash/tests/exchange.rs
+++ b/crates/jacinthbeam-crash/tests/exchange.rs
@@ -6,7 +6,7 @@
 };
 
 use jacinthbeam_crash::{
-    Exchange, Fact, Fingerprint, Outcome, exchange::MOST_TOLD, fingerprint::Head,
+    Exchange, Fact, Fingerprint, Outcome, exchange::MAX_FACTS_PER_MESSAGE, fingerprint::Head,
 };
 use jacinthbeam_types::prelude::*;
 
@@ -96,9 +96,9 @@
 fn many_facts_are_told_in_parts() {
     let now = Instant::now();
     let (mut a, mut b) = (host("a", 1), host("b", 2));
-    let facts = 2 * MOST_TOLD + 1;
+    let facts = 2 * MAX_FACTS_PER_MESSAGE + 1;
     (0..facts).for_each(|of| see(&mut a, of, now));
     let told: Vec<usize> = (0..4).map(|_| ask(&mut a, &mut b, now).0).collect();
-    assert_eq!(told, [MOST_TOLD, MOST_TOLD, 1, 0]);
+    assert_eq!(told, [MAX_FACTS_PER_MESSAGE, MAX_FACTS_PER_MESSAGE, 1, 0]);
     assert!((0..facts).all(|of| knows(&b, of)));
 }
