--- a/crates/jacinthbeam-crash/src/cases.rs
+++ b/crates/jacinthbeam-crash/src/cases.rs
@@ -73,7 +73,7 @@
 
 /// A fact as it leaves a host: clocks of hosts have nothing in common, so it bears its age.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Aged {
+pub struct AgedFact {
     /// The request.
     pub request: Fingerprint,
     /// What happened.
@@ -82,7 +82,7 @@
     pub age: Duration,
 }
 
-impl Aged {
+impl AgedFact {
     /// The fact, by a clock at `now`; `None` if the clock does not reach back to it.
     pub fn at(self, now: Instant) -> Option<Fact> {
         let Self { request, outcome, age } = self;
@@ -92,9 +92,9 @@
 
 impl Fact {
     /// The fact as it leaves this host at `now`.
-    pub fn aged(self, now: Instant) -> Aged {
+    pub fn aged(self, now: Instant) -> AgedFact {
         let Self { request, outcome, at } = self;
-        Aged { request, outcome, age: now.saturating_duration_since(at) }
+        AgedFact { request, outcome, age: now.saturating_duration_since(at) }
     }
 }
 
--- a/crates/jacinthbeam-crash/src/evidence.rs
+++ b/crates/jacinthbeam-crash/src/evidence.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::cases::{Aged, Fact};
+use crate::cases::{AgedFact, Fact};
 
 /// Facts of one record, of up to some 70 bytes each.
 pub const MAX_FACTS_PER_RECORD: usize = 128;
@@ -15,7 +15,7 @@
     /// When it was written, by the time of day.
     pub written: SystemTime,
     /// The facts, with their age at that time.
-    pub facts: Vec<Aged>,
+    pub facts: Vec<AgedFact>,
 }
 
 /// Why bytes are no evidence.
@@ -50,7 +50,7 @@
         let since = time_of_day.duration_since(self.written).unwrap_or_default();
         let facts = self.facts.into_iter().filter_map(|fact| {
             let age = fact.age.saturating_add(since);
-            Aged { age, ..fact }.at(now)
+            AgedFact { age, ..fact }.at(now)
         });
         facts.collect()
     }
--- a/crates/jacinthbeam-crash/src/exchange.rs
+++ b/crates/jacinthbeam-crash/src/exchange.rs
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    cases::{Aged, Cases, Fact, Position, Source},
+    cases::{AgedFact, Cases, Fact, Position, Source},
     evidence::{Evidence, MAX_FACTS_PER_RECORD},
     suspects::Suspects,
 };
@@ -25,7 +25,7 @@
 const MOST_PEERS: usize = 128;
 
 /// How far one host's list is known: a life of its process, and a position in the list that it keeps.
-pub type Reach = (Incarnation, Position);
+pub type Cursor = (Incarnation, Position);
 
 /// What the asking host tells with its question.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -33,9 +33,9 @@
     /// The asking host.
     pub from: HostId,
     /// How far it knows the list of the host that it asks.
-    pub knows: Option<Reach>,
+    pub knows: Option<Cursor>,
     /// What that host has not heard from it.
-    pub facts: Vec<Aged>,
+    pub facts: Vec<AgedFact>,
     /// The position after them in its own list.
     pub end: Position,
 }
@@ -48,7 +48,7 @@
     /// The life of its process.
     pub life: Incarnation,
     /// What the asking host has not heard from it.
-    pub facts: Vec<Aged>,
+    pub facts: Vec<AgedFact>,
     /// The position after them in its own list.
     pub end: Position,
     /// The position that the question ended at: everything before it was taken.
@@ -60,9 +60,9 @@
 struct Peer {
     host: Option<HostId>,
     /// How far its list is known here.
-    heard: Option<Reach>,
+    heard: Option<Cursor>,
     /// How far it knows the list of this host, in which life of its own.
-    told: Option<Reach>,
+    told: Option<Cursor>,
 }
 
 /// All facts of one host, and how far it has exchanged them with others.
@@ -169,7 +169,7 @@
         peer.host = Some(answer.from);
     }
 
-    fn take_told(&mut self, facts: Vec<Aged>, from: &HostId, now: Instant) -> bool {
+    fn take_told(&mut self, facts: Vec<AgedFact>, from: &HostId, now: Instant) -> bool {
         // Older than this clock reaches is older than anything that is kept.
         let facts = facts.into_iter().filter_map(|fact| fact.at(now));
         self.cases.take_all(facts, &Source::Told(from.clone()), now)
@@ -192,6 +192,6 @@
     }
 }
 
-fn aged(facts: Vec<Fact>, now: Instant) -> Vec<Aged> {
+fn aged(facts: Vec<Fact>, now: Instant) -> Vec<AgedFact> {
     facts.into_iter().map(|fact| fact.aged(now)).collect()
 }
--- a/crates/jacinthbeam-crash/src/fingerprint.rs
+++ b/crates/jacinthbeam-crash/src/fingerprint.rs
@@ -7,9 +7,9 @@
 
 /// Digest of what a request's head says.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Head(u64);
+pub struct HeadDigest(u64);
 
-impl Head {
+impl HeadDigest {
     /// The digest of these parts. Each counts with its length, so that no two lists of parts run together.
     pub fn of(parts: &[&[u8]]) -> Self {
         Self(digest(parts))
@@ -23,23 +23,23 @@
 /// hexadecimal digits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Fingerprint {
-    head: Head,
+    head: HeadDigest,
     body: u64,
 }
 
 impl Fingerprint {
     /// The fingerprint of a request with this head and body.
-    pub fn of(head: Head, body: &[u8]) -> Self {
+    pub fn of(head: HeadDigest, body: &[u8]) -> Self {
         Self { head, body: digest(&[&head.0.to_be_bytes(), body]) }
     }
 
     /// The first of all fingerprints with this head.
-    pub fn first_of(head: Head) -> Self {
+    pub fn min_with_head(head: HeadDigest) -> Self {
         Self { head, body: 0 }
     }
 
     /// What the request's head says.
-    pub fn head(&self) -> Head {
+    pub fn head(&self) -> HeadDigest {
         self.head
     }
 }
@@ -83,6 +83,6 @@
         }
         let number = |text: &str| u64::from_str_radix(text, 16).map_err(|_| ParseError);
         let (head, body) = text.split_at(16);
-        Ok(Self { head: Head(number(head)?), body: number(body)? })
+        Ok(Self { head: HeadDigest(number(head)?), body: number(body)? })
     }
 }
--- a/crates/jacinthbeam-crash/src/recent.rs
+++ b/crates/jacinthbeam-crash/src/recent.rs
@@ -13,7 +13,7 @@
 
 use crate::{
     cases::{Fact, Outcome},
-    fingerprint::{Fingerprint, Head},
+    fingerprint::{Fingerprint, HeadDigest},
     suspects::Suspects,
 };
 
@@ -25,7 +25,7 @@
 
 #[derive(Debug)]
 struct Answer {
-    head: Head,
+    head: HeadDigest,
     body: Bytes,
     caller: IpAddr,
     at: Instant,
@@ -39,7 +39,7 @@
 
 impl RecentAnswers {
     /// A request of `caller` ran to a good end.
-    pub fn add(&mut self, head: Head, body: Bytes, caller: IpAddr, at: Instant) {
+    pub fn add(&mut self, head: HeadDigest, body: Bytes, caller: IpAddr, at: Instant) {
         let is_old = |answer: &Answer| at.saturating_duration_since(answer.at) >= RETENTION;
         while self.of.len() >= MOST_ANSWERS || self.of.front().is_some_and(is_old) {
             self.of.pop_front();
--- a/crates/jacinthbeam-crash/src/suspects.rs
+++ b/crates/jacinthbeam-crash/src/suspects.rs
@@ -8,7 +8,7 @@
 
 use jacinthbeam_types::prelude::*;
 
-use crate::fingerprint::{Fingerprint, Head};
+use crate::fingerprint::{Fingerprint, HeadDigest};
 
 /// Servers that have to crash under a request before it is refused.
 ///
@@ -79,8 +79,8 @@
     }
 
     /// Whether one of them has this head.
-    pub fn contains_prefix(&self, head: Head) -> bool {
-        let next = self.of.range(Fingerprint::first_of(head)..).next();
+    pub fn contains_prefix(&self, head: HeadDigest) -> bool {
+        let next = self.of.range(Fingerprint::min_with_head(head)..).next();
         next.is_some_and(|(of, _)| of.head() == head)
     }
 
--- a/crates/jacinthbeam-crash/tests/cases.rs
+++ b/crates/jacinthbeam-crash/tests/cases.rs
@@ -8,13 +8,13 @@
 use jacinthbeam_crash::{
     Cases, Fact, Fingerprint, Outcome, Source,
     cases::{MAX_CASES, QUARANTINE_TTL, SUSPICION_TTL},
-    fingerprint::Head,
+    fingerprint::HeadDigest,
     suspects::MIN_CRASH_SPAN,
 };
 use jacinthbeam_types::prelude::*;
 
 fn request(n: usize) -> Fingerprint {
-    Fingerprint::of(Head::of(&[b"GET", &n.to_be_bytes()]), b"")
+    Fingerprint::of(HeadDigest::of(&[b"GET", &n.to_be_bytes()]), b"")
 }
 
 fn caller(n: u8) -> IpAddr {
@@ -171,7 +171,7 @@
 #[test]
 fn only_a_known_head_has_a_body_digested() {
     let now = Instant::now();
-    let head = |n: usize| Head::of(&[b"GET", &n.to_be_bytes()]);
+    let head = |n: usize| HeadDigest::of(&[b"GET", &n.to_be_bytes()]);
     let suspects = cases([ended(1, 1, 1, now)], now).suspects();
     assert!(suspects.contains_prefix(head(1)) && !suspects.contains_prefix(head(2)));
     assert!(suspects.get(&Fingerprint::of(head(1), b"another body")).is_none());
--- a/crates/jacinthbeam-crash/tests/evidence.rs
+++ b/crates/jacinthbeam-crash/tests/evidence.rs
@@ -9,7 +9,7 @@
     Evidence, Exchange, Fact, Fingerprint, Outcome,
     cases::{QUARANTINE_TTL, SUSPICION_TTL},
     evidence::MAX_FACTS_PER_RECORD,
-    fingerprint::Head,
+    fingerprint::HeadDigest,
     suspects::MIN_CRASH_SPAN,
 };
 use jacinthbeam_types::prelude::*;
@@ -21,7 +21,7 @@
 }
 
 fn request(n: usize) -> Fingerprint {
-    Fingerprint::of(Head::of(&[b"GET", &n.to_be_bytes()]), b"")
+    Fingerprint::of(HeadDigest::of(&[b"GET", &n.to_be_bytes()]), b"")
 }
 
 fn ended(of: usize, under: usize, at: Instant) -> Fact {
--- a/crates/jacinthbeam-crash/tests/exchange.rs
+++ b/crates/jacinthbeam-crash/tests/exchange.rs
@@ -6,7 +6,7 @@
 };
 
 use jacinthbeam_crash::{
-    Exchange, Fact, Fingerprint, Outcome, exchange::MAX_FACTS_PER_MESSAGE, fingerprint::Head,
+    Exchange, Fact, Fingerprint, Outcome, exchange::MAX_FACTS_PER_MESSAGE, fingerprint::HeadDigest,
 };
 use jacinthbeam_types::prelude::*;
 
@@ -17,7 +17,7 @@
 }
 
 fn request(n: usize) -> Fingerprint {
-    Fingerprint::of(Head::of(&[b"GET", &n.to_be_bytes()]), b"")
+    Fingerprint::of(HeadDigest::of(&[b"GET", &n.to_be_bytes()]), b"")
 }
 
 fn see(host: &mut Exchange, of: usize, now: Instant) {
--- a/crates/jacinthbeam-crash/tests/fingerprint.rs
+++ b/crates/jacinthbeam-crash/tests/fingerprint.rs
@@ -1,10 +1,10 @@
 //! Fingerprints tell requests apart.
 
-use jacinthbeam_crash::{Fingerprint, fingerprint::Head};
+use jacinthbeam_crash::{Fingerprint, fingerprint::HeadDigest};
 
 fn of(parts: &[&str], body: &str) -> Fingerprint {
     let parts: Vec<&[u8]> = parts.iter().map(|part| part.as_bytes()).collect();
-    Fingerprint::of(Head::of(&parts), body.as_bytes())
+    Fingerprint::of(HeadDigest::of(&parts), body.as_bytes())
 }
 
 #[test]
--- a/crates/jacinthbeam-crash/tests/world/mod.rs
+++ b/crates/jacinthbeam-crash/tests/world/mod.rs
@@ -15,7 +15,7 @@
 use bytes::Bytes;
 use jacinthbeam_crash::{
     Evidence, Exchange, Fact, Fingerprint, Outcome, Prober, RecentAnswers, Suspects,
-    fingerprint::Head, probe::Rank,
+    fingerprint::HeadDigest, probe::Rank,
 };
 use jacinthbeam_types::prelude::*;
 use news::Ask;
@@ -75,8 +75,8 @@
     pub written: u32,
 }
 
-fn head(n: u64) -> Head {
-    Head::of(&[b"GET", &n.to_be_bytes()])
+fn head(n: u64) -> HeadDigest {
+    HeadDigest::of(&[b"GET", &n.to_be_bytes()])
 }
 
 fn request(n: u64) -> Fingerprint {
--- a/crates/jacinthbeam-host/src/process/traffic.rs
+++ b/crates/jacinthbeam-host/src/process/traffic.rs
@@ -11,7 +11,7 @@
 
 use bytes::Bytes;
 use jacinthbeam_crash::{
-    Fact, Fingerprint, Prober, RecentAnswers, Suspects, fingerprint::Head, probe::Rank,
+    Fact, Fingerprint, Prober, RecentAnswers, Suspects, fingerprint::HeadDigest, probe::Rank,
 };
 use jacinthbeam_dispatch::{Budget, Seen, slow_start::Pacer};
 use jacinthbeam_range::{Key, admission::Gate, demand::Report};
@@ -310,7 +310,7 @@
     }
 
     /// Notes that a request of a caller ran to a good end.
-    pub fn on_good_answer(&self, head: Head, body: Bytes, caller: IpAddr) {
+    pub fn on_good_answer(&self, head: HeadDigest, body: Bytes, caller: IpAddr) {
         self.recent.borrow_mut().add(head, body, caller, self.now());
     }
 
--- a/crates/jacinthbeam-host/src/request/same.rs
+++ b/crates/jacinthbeam-host/src/request/same.rs
@@ -1,7 +1,7 @@
 //! What makes two attempts the same request.
 
 use http::header;
-use jacinthbeam_crash::{Fingerprint, Suspects, fingerprint::Head};
+use jacinthbeam_crash::{Fingerprint, Suspects, fingerprint::HeadDigest};
 
 use super::send::Whole;
 
@@ -22,9 +22,9 @@
 }
 
 /// What the head of a request says.
-pub(super) fn head(whole: &Whole) -> Head {
+pub(super) fn head(whole: &Whole) -> HeadDigest {
     let path = whole.target.path().as_bytes();
     let query = whole.target.query().unwrap_or_default().as_bytes();
     let host = whole.headers.get(header::HOST).map_or(&[][..], |host| host.as_bytes());
-    Head::of(&[whole.method.as_str().as_bytes(), host, path, query])
+    HeadDigest::of(&[whole.method.as_str().as_bytes(), host, path, query])
 }
