--- a/crates/jacinthbeam-crash/src/cases.rs
+++ b/crates/jacinthbeam-crash/src/cases.rs
@@ -102,11 +102,11 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Source {
     /// This host saw it.
-    Seen,
+    Observed,
     /// Another host told it.
-    Told(HostId),
+    Peer(HostId),
     /// It was read from the store.
-    Recorded,
+    Store,
 }
 
 #[derive(Debug, Clone)]
@@ -181,14 +181,14 @@
     }
 
     /// Takes a fact. Returns whether it adds anything.
-    pub fn take(&mut self, fact: Fact, source: Source, now: Instant) -> bool {
-        self.take_all([fact], &source, now)
+    pub fn merge(&mut self, fact: Fact, source: Source, now: Instant) -> bool {
+        self.merge_all([fact], &source, now)
     }
 
     /// Takes facts that come together. Returns whether any of them adds anything.
     ///
     /// Only all facts of a request say for how long it is kept.
-    pub fn take_all(
+    pub fn merge_all(
         &mut self,
         facts: impl IntoIterator<Item = Fact>,
         source: &Source,
@@ -238,7 +238,7 @@
     }
 
     /// Forgets what has stood for long enough. Returns whether there was any.
-    pub fn forget(&mut self, now: Instant) -> bool {
+    pub fn expire(&mut self, now: Instant) -> bool {
         let before = self.of.len();
         self.of.retain(|_, case| !case.is_over(now));
         self.of.len() != before
@@ -254,8 +254,8 @@
         for (request, case) in &self.of {
             let new = case.notes().filter(|(_, noted)| {
                 let told_by = match &noted.source {
-                    Source::Told(host) => Some(host),
-                    Source::Seen | Source::Recorded => None,
+                    Source::Peer(host) => Some(host),
+                    Source::Observed | Source::Store => None,
                 };
                 noted.position >= from && (to.is_none() || told_by != to)
             });
@@ -273,7 +273,7 @@
     }
 
     /// Facts of the requests under which most servers crashed, then of the latest: so many at the most.
-    pub fn weightiest(&self, most: usize) -> Vec<Fact> {
+    pub fn strongest_facts(&self, most: usize) -> Vec<Fact> {
         let mut cases: Vec<(&Fingerprint, &Case)> = self.of.iter().collect();
         cases.sort_by_cached_key(|(_, case)| Reverse((case.servers(), case.last())));
         let facts = cases.into_iter().flat_map(|(request, case)| {
--- a/crates/jacinthbeam-crash/src/exchange.rs
+++ b/crates/jacinthbeam-crash/src/exchange.rs
@@ -72,7 +72,7 @@
     life: Incarnation,
     cases: Cases,
     /// The position after the last fact that was not the answer to a question of this host.
-    to_tell: Position,
+    push_end: Position,
     peers: BTreeMap<SocketAddr, Peer>,
     /// Whether facts have come, other than in answers to this host, that its record in the store does not hold.
     is_record_due: bool,
@@ -85,7 +85,7 @@
             me,
             life,
             cases: Cases::default(),
-            to_tell: Position::default(),
+            push_end: Position::default(),
             peers: BTreeMap::new(),
             is_record_due: false,
         }
@@ -97,39 +97,39 @@
     }
 
     /// The position up to which the hosts that this one asks should be told, without waiting for the next question.
-    pub fn to_tell(&self) -> Position {
-        self.to_tell
+    pub fn push_end(&self) -> Position {
+        self.push_end
     }
 
     /// Takes a fact that was seen here. Returns whether it adds anything.
-    pub fn see(&mut self, fact: Fact, now: Instant) -> bool {
-        let adds = self.cases.take(fact, Source::Seen, now);
+    pub fn observe(&mut self, fact: Fact, now: Instant) -> bool {
+        let adds = self.cases.merge(fact, Source::Observed, now);
         self.is_record_due |= adds;
-        self.note_to_tell(adds);
+        self.advance_push_end(adds);
         adds
     }
 
     /// Takes the record of a host that the store holds. Returns whether it adds anything.
-    pub fn take_recorded(
+    pub fn merge_record(
         &mut self,
         evidence: Evidence,
         now: Instant,
         time_of_day: SystemTime,
     ) -> bool {
         let facts = evidence.facts(now, time_of_day);
-        let adds = self.cases.take_all(facts, &Source::Recorded, now);
-        self.note_to_tell(adds);
+        let adds = self.cases.merge_all(facts, &Source::Store, now);
+        self.advance_push_end(adds);
         adds
     }
 
     /// What the store has to hold as the record of this host, if that has changed.
     ///
     /// Facts that came in answers are left to the hosts that gave them: each is recorded once for each failure domain that saw it.
-    pub fn take_record(&mut self, now: Instant, time_of_day: SystemTime) -> Option<Evidence> {
+    pub fn take_due_record(&mut self, now: Instant, time_of_day: SystemTime) -> Option<Evidence> {
         if !std::mem::take(&mut self.is_record_due) {
             return None;
         }
-        let facts = aged(self.cases.weightiest(MAX_FACTS_PER_RECORD), now);
+        let facts = aged(self.cases.strongest_facts(MAX_FACTS_PER_RECORD), now);
         Some(Evidence { written: time_of_day, facts })
     }
 
@@ -147,7 +147,7 @@
     pub fn answer(&mut self, question: &Question, now: Instant) -> Answer {
         let adds = self.take_told(question.facts.clone(), &question.from, now);
         self.is_record_due |= adds;
-        self.note_to_tell(adds);
+        self.advance_push_end(adds);
         let known = question.knows.filter(|(life, _)| *life == self.life);
         let known = known.map_or(Position::default(), |(_, end)| end);
         let (facts, end) = self.cases.since(known, Some(&question.from), MAX_FACTS_PER_MESSAGE);
@@ -172,18 +172,18 @@
     fn take_told(&mut self, facts: Vec<AgedFact>, from: &HostId, now: Instant) -> bool {
         // Older than this clock reaches is older than anything that is kept.
         let facts = facts.into_iter().filter_map(|fact| fact.at(now));
-        self.cases.take_all(facts, &Source::Told(from.clone()), now)
+        self.cases.merge_all(facts, &Source::Peer(from.clone()), now)
     }
 
-    fn note_to_tell(&mut self, adds: bool) {
+    fn advance_push_end(&mut self, adds: bool) {
         if adds {
-            self.to_tell = self.cases.end();
+            self.push_end = self.cases.end();
         }
     }
 
     /// Forgets what has stood for long enough. Returns whether there was any.
-    pub fn forget(&mut self, now: Instant) -> bool {
-        self.cases.forget(now)
+    pub fn expire(&mut self, now: Instant) -> bool {
+        self.cases.expire(now)
     }
 
     /// The requests that are in doubt or refused.
--- a/crates/jacinthbeam-crash/tests/cases.rs
+++ b/crates/jacinthbeam-crash/tests/cases.rs
@@ -43,7 +43,7 @@
 fn cases(facts: impl IntoIterator<Item = Fact>, now: Instant) -> Cases {
     let mut cases = Cases::default();
     for fact in facts {
-        cases.take(fact, Source::Seen, now);
+        cases.merge(fact, Source::Observed, now);
     }
     cases
 }
@@ -79,7 +79,11 @@
     let together = (1..40).map(|n| ended(1, 1, n, now + Duration::from_millis(u64::from(n))));
     let mut cases = cases(together, now);
     assert!(!is_refused(&cases, 1, 1));
-    cases.take(ended(1, 1, 40, now + MIN_CRASH_SPAN + Duration::from_millis(1)), Source::Seen, now);
+    cases.merge(
+        ended(1, 1, 40, now + MIN_CRASH_SPAN + Duration::from_millis(1)),
+        Source::Observed,
+        now,
+    );
     assert!(is_refused(&cases, 1, 1));
 }
 
@@ -103,7 +107,7 @@
     let now = Instant::now();
     let mut cases = cases(ended_in_turn(1, 1, 5, now), now);
     assert!(is_refused(&cases, 1, 1) && !is_refused(&cases, 1, 2));
-    cases.take(ended(1, 2, 6, now), Source::Seen, now);
+    cases.merge(ended(1, 2, 6, now), Source::Observed, now);
     assert!(is_refused(&cases, 1, 2) && is_refused(&cases, 1, 3));
 }
 
@@ -114,11 +118,11 @@
     let at = |s: u64| now + Duration::from_secs(s);
     let facts = [ended(1, 1, 1, at(0)), ended(1, 1, 2, at(1)), served(1, 1, at(2))];
     let mut cases = cases(facts, at(2));
-    cases.take(ended(1, 1, 3, at(3)), Source::Seen, at(3));
+    cases.merge(ended(1, 1, 3, at(3)), Source::Observed, at(3));
     assert!(!is_refused(&cases, 1, 1));
-    assert!(!cases.take(ended(1, 1, 1, at(0)), Source::Seen, at(4)), "an old fact comes late");
+    assert!(!cases.merge(ended(1, 1, 1, at(0)), Source::Observed, at(4)), "an old fact comes late");
     for n in [4, 5] {
-        cases.take(ended(1, 1, n, at(n.into())), Source::Seen, at(5));
+        cases.merge(ended(1, 1, n, at(n.into())), Source::Observed, at(5));
     }
     assert!(is_refused(&cases, 1, 1), "it is not cleared of what came after");
 }
@@ -131,9 +135,9 @@
     let facts = (1..4).flat_map(|n| [ended(1, 1, n, at(2 * u64::from(n))), served(1, 2, at(7))]);
     let mut cases = cases(facts, at(8));
     assert!(is_refused(&cases, 1, 1) && !is_refused(&cases, 1, 2));
-    cases.take(
+    cases.merge(
         Fact { request: request(1), outcome: Outcome::Allowed, at: at(9) },
-        Source::Seen,
+        Source::Observed,
         at(9),
     );
     assert!(!is_refused(&cases, 1, 1), "an operator lets it through for all");
@@ -145,15 +149,18 @@
     let mut cases = cases([ended(1, 1, 1, now)], now);
     let times = [now - MIN_CRASH_SPAN, now, now];
     for (n, at) in (1..).zip(times) {
-        cases.take(ended(2, 1, n, at), Source::Seen, now);
+        cases.merge(ended(2, 1, n, at), Source::Observed, now);
     }
-    assert!(cases.forget(now + SUSPICION_TTL));
+    assert!(cases.expire(now + SUSPICION_TTL));
     assert!(cases.suspects().get(&request(1)).is_none());
     assert!(is_refused(&cases, 2, 1));
-    assert!(!cases.forget(now + QUARANTINE_TTL - Duration::from_secs(1)));
-    assert!(cases.forget(now + QUARANTINE_TTL) && cases.suspects().is_empty());
+    assert!(!cases.expire(now + QUARANTINE_TTL - Duration::from_secs(1)));
+    assert!(cases.expire(now + QUARANTINE_TTL) && cases.suspects().is_empty());
     let old = ended(1, 1, 1, now);
-    assert!(!cases.take(old, Source::Seen, now + SUSPICION_TTL), "what is forgotten comes back");
+    assert!(
+        !cases.merge(old, Source::Observed, now + SUSPICION_TTL),
+        "what is forgotten comes back"
+    );
 }
 
 /// A failure domain loses its power, and thousands of requests were running there. The memory is bounded, and the request that is refused stays.
@@ -162,7 +169,7 @@
     let now = Instant::now();
     let mut cases = cases(ended_in_turn(0, 1, 3, now), now);
     for of in 1..2 * MAX_CASES {
-        cases.take(ended(of, 1, 9, now + Duration::from_secs(10)), Source::Seen, now);
+        cases.merge(ended(of, 1, 9, now + Duration::from_secs(10)), Source::Observed, now);
     }
     assert!(is_refused(&cases, 0, 1));
     assert_eq!(cases.suspects().iter().count(), MAX_CASES);
@@ -184,14 +191,14 @@
     let mut cases =
         cases([ended(1, 1, 1, now), served(1, 1, now + MIN_CRASH_SPAN)], now + MIN_CRASH_SPAN);
     assert!(cases.suspects().is_empty());
-    assert!(!cases.take(
+    assert!(!cases.merge(
         ended(1, 1, 1, now + MIN_CRASH_SPAN * 2),
-        Source::Seen,
+        Source::Observed,
         now + MIN_CRASH_SPAN * 2
     ));
-    assert!(cases.take(
+    assert!(cases.merge(
         ended(1, 1, 2, now + MIN_CRASH_SPAN * 2),
-        Source::Seen,
+        Source::Observed,
         now + MIN_CRASH_SPAN * 2
     ));
     assert_eq!(cases.servers(&request(1)), 1);
@@ -203,8 +210,8 @@
     let now = Instant::now();
     let later = |ms| now + Duration::from_millis(ms);
     let mut cases = cases([ended(1, 1, 1, now), served(1, 1, later(1))], later(1));
-    assert!(!cases.take(served(1, 1, later(20)), Source::Seen, later(20)));
-    assert!(cases.take(ended(1, 1, 2, later(30)), Source::Seen, later(30)));
-    assert!(cases.take(served(1, 1, later(40)), Source::Seen, later(40)));
+    assert!(!cases.merge(served(1, 1, later(20)), Source::Observed, later(20)));
+    assert!(cases.merge(ended(1, 1, 2, later(30)), Source::Observed, later(30)));
+    assert!(cases.merge(served(1, 1, later(40)), Source::Observed, later(40)));
     assert!(cases.suspects().is_empty());
 }
--- a/crates/jacinthbeam-crash/tests/evidence.rs
+++ b/crates/jacinthbeam-crash/tests/evidence.rs
@@ -38,9 +38,9 @@
     let (mut host, now) = (host("a", 1), Instant::now());
     let last = now + MIN_CRASH_SPAN * crashes as u32;
     for n in 1..=crashes {
-        host.see(ended(1, n, now + MIN_CRASH_SPAN * n as u32), last);
+        host.observe(ended(1, n, now + MIN_CRASH_SPAN * n as u32), last);
     }
-    (host.take_record(last, SystemTime::UNIX_EPOCH).unwrap(), last)
+    (host.take_due_record(last, SystemTime::UNIX_EPOCH).unwrap(), last)
 }
 
 fn later(by: Duration) -> SystemTime {
@@ -52,7 +52,7 @@
 fn the_first_crash_is_recorded() {
     let (record, last) = record_of(1);
     let mut other = host("b", 1);
-    assert!(other.take_recorded(record, last, later(Duration::ZERO)));
+    assert!(other.merge_record(record, last, later(Duration::ZERO)));
     assert_eq!(servers(&other, 1), 1);
 }
 
@@ -60,11 +60,11 @@
 #[test]
 fn nothing_new_is_not_recorded() {
     let (mut a, now) = (host("a", 1), Instant::now());
-    assert_eq!(a.take_record(now, SystemTime::UNIX_EPOCH), None);
-    a.see(ended(1, 1, now), now);
-    assert!(a.take_record(now, SystemTime::UNIX_EPOCH).is_some());
-    a.see(ended(1, 1, now), now);
-    assert_eq!(a.take_record(now, SystemTime::UNIX_EPOCH), None);
+    assert_eq!(a.take_due_record(now, SystemTime::UNIX_EPOCH), None);
+    a.observe(ended(1, 1, now), now);
+    assert!(a.take_due_record(now, SystemTime::UNIX_EPOCH).is_some());
+    a.observe(ended(1, 1, now), now);
+    assert_eq!(a.take_due_record(now, SystemTime::UNIX_EPOCH), None);
 }
 
 /// Guards against each host of a fleet recording the same crash: one that is told it in an answer leaves it to the host that answered.
@@ -72,16 +72,16 @@
 fn a_crash_is_recorded_by_the_host_that_is_asked() {
     let addr = SocketAddr::new(CALLER, 1);
     let (mut a, mut b, now) = (host("a", 1), host("b", 1), Instant::now());
-    a.see(ended(1, 1, now), now);
+    a.observe(ended(1, 1, now), now);
     let answer = b.answer(&a.question(addr, now), now);
-    assert!(b.take_record(now, SystemTime::UNIX_EPOCH).is_some());
-    a.take_record(now, SystemTime::UNIX_EPOCH);
+    assert!(b.take_due_record(now, SystemTime::UNIX_EPOCH).is_some());
+    a.take_due_record(now, SystemTime::UNIX_EPOCH);
     a.on_answer(addr, answer, now);
-    b.see(ended(2, 2, now), now);
+    b.observe(ended(2, 2, now), now);
     let answer = b.answer(&a.question(addr, now), now);
     a.on_answer(addr, answer, now);
     assert_eq!(servers(&a, 2), 1);
-    assert_eq!(a.take_record(now, SystemTime::UNIX_EPOCH), None);
+    assert_eq!(a.take_due_record(now, SystemTime::UNIX_EPOCH), None);
 }
 
 /// Guards against one crash that counts twice, read back by hosts that had recorded it each.
@@ -89,8 +89,8 @@
 fn evidence_that_is_read_twice_counts_once() {
     let (record, last) = record_of(2);
     let mut other = host("b", 1);
-    assert!(other.take_recorded(record.clone(), last, later(Duration::ZERO)));
-    assert!(!other.take_recorded(record, last, later(Duration::ZERO)));
+    assert!(other.merge_record(record.clone(), last, later(Duration::ZERO)));
+    assert!(!other.merge_record(record, last, later(Duration::ZERO)));
     assert_eq!(servers(&other, 1), 2);
 }
 
@@ -99,11 +99,11 @@
 fn a_record_holds_what_an_earlier_life_recorded() {
     let (record, last) = record_of(2);
     let mut again = host("a", 2);
-    again.take_recorded(record, last, later(Duration::ZERO));
-    again.see(ended(7, 7, last), last);
-    let record = again.take_record(last, SystemTime::UNIX_EPOCH).unwrap();
+    again.merge_record(record, last, later(Duration::ZERO));
+    again.observe(ended(7, 7, last), last);
+    let record = again.take_due_record(last, SystemTime::UNIX_EPOCH).unwrap();
     let mut other = host("b", 1);
-    other.take_recorded(record, last, later(Duration::ZERO));
+    other.merge_record(record, last, later(Duration::ZERO));
     assert_eq!((servers(&other, 1), servers(&other, 7)), (2, 1));
 }
 
@@ -112,14 +112,14 @@
 fn evidence_of_an_answer_clears_what_another_host_recorded() {
     let (record, last) = record_of(3);
     let mut b = host("b", 1);
-    b.take_recorded(record.clone(), last, later(Duration::ZERO));
+    b.merge_record(record.clone(), last, later(Duration::ZERO));
     let at = last + Duration::from_secs(1);
-    b.see(Fact { request: request(1), outcome: Outcome::Succeeded { caller: CALLER }, at }, at);
-    let answered = b.take_record(at, later(Duration::from_secs(1))).unwrap();
+    b.observe(Fact { request: request(1), outcome: Outcome::Succeeded { caller: CALLER }, at }, at);
+    let answered = b.take_due_record(at, later(Duration::from_secs(1))).unwrap();
     for order in [[record.clone(), answered.clone()], [answered, record]] {
         let mut a = host("a", 2);
         for record in order {
-            a.take_recorded(record, at, later(Duration::from_secs(1)));
+            a.merge_record(record, at, later(Duration::from_secs(1)));
         }
         assert_eq!(servers(&a, 1), 0);
     }
@@ -132,9 +132,9 @@
         let (record, last) = record_of(crashes);
         for (since, counted) in [(kept - Duration::from_secs(1), crashes), (kept, 0)] {
             let mut other = host("b", 1);
-            other.take_recorded(record.clone(), last + since, later(since));
+            other.merge_record(record.clone(), last + since, later(since));
             let now = last + since;
-            other.forget(now);
+            other.expire(now);
             assert_eq!(servers(&other, 1), counted, "{crashes} crashes, after {since:?}");
         }
     }
@@ -146,10 +146,10 @@
     let (mut a, now) = (host("a", 1), Instant::now());
     let addr = SocketAddr::new(CALLER, 1);
     for n in 1..=3 {
-        a.see(ended(1, n, now + MIN_CRASH_SPAN * n as u32), now + MIN_CRASH_SPAN * 3);
+        a.observe(ended(1, n, now + MIN_CRASH_SPAN * n as u32), now + MIN_CRASH_SPAN * 3);
     }
     let now = now + SUSPICION_TTL * 2;
-    a.forget(now);
+    a.expire(now);
     let mut late = host("b", 1);
     late.on_answer(addr, a.answer(&late.question(addr, now), now), now);
     assert!(late.suspects().refuse(&request(1), CALLER));
@@ -161,12 +161,12 @@
 fn a_record_is_bounded_and_keeps_what_weighs_most() {
     let (mut host, now) = (host("a", 1), Instant::now());
     for n in 1..=2 {
-        host.see(ended(0, n, now), now);
+        host.observe(ended(0, n, now), now);
     }
     for of in 1..=2 * MAX_FACTS_PER_RECORD {
-        host.see(ended(of, 1000 + of, now + MIN_CRASH_SPAN), now + MIN_CRASH_SPAN);
+        host.observe(ended(of, 1000 + of, now + MIN_CRASH_SPAN), now + MIN_CRASH_SPAN);
     }
-    let record = host.take_record(now + MIN_CRASH_SPAN, SystemTime::UNIX_EPOCH).unwrap();
+    let record = host.take_due_record(now + MIN_CRASH_SPAN, SystemTime::UNIX_EPOCH).unwrap();
     assert_eq!(record.facts.len(), MAX_FACTS_PER_RECORD);
     assert_eq!(record.facts.iter().filter(|fact| fact.request == request(0)).count(), 2);
 }
--- a/crates/jacinthbeam-crash/tests/exchange.rs
+++ b/crates/jacinthbeam-crash/tests/exchange.rs
@@ -23,7 +23,7 @@
 fn see(host: &mut Exchange, of: usize, now: Instant) {
     let server = ServerName::into("s1".parse().unwrap());
     let outcome = Outcome::Crashed { server, caller: Ipv4Addr::LOCALHOST.into() };
-    host.see(Fact { request: request(of), outcome, at: now }, now);
+    host.observe(Fact { request: request(of), outcome, at: now }, now);
 }
 
 fn knows(host: &Exchange, of: usize) -> bool {
--- a/crates/jacinthbeam-crash/tests/world/mod.rs
+++ b/crates/jacinthbeam-crash/tests/world/mod.rs
@@ -221,7 +221,7 @@
     pub fn see(&mut self, n: usize, of: u64, outcome: Outcome) {
         let at = self.at();
         if self.runs(n) {
-            self.hosts[n].exchange.see(Fact { request: request(of), outcome, at }, at);
+            self.hosts[n].exchange.observe(Fact { request: request(of), outcome, at }, at);
         }
     }
 
@@ -273,7 +273,7 @@
             (host.told_at, host.told_end) = (now, end);
             host.suspects = host.exchange.suspects();
             for fact in host.recent.clear(&host.suspects) {
-                host.exchange.see(fact, at);
+                host.exchange.observe(fact, at);
             }
         }
     }
--- a/crates/jacinthbeam-crash/tests/world/news.rs
+++ b/crates/jacinthbeam-crash/tests/world/news.rs
@@ -93,7 +93,7 @@
                 ask.arrives = None;
             }
         }
-        let more = self.hosts[n].exchange.to_tell() > ask.question.end;
+        let more = self.hosts[n].exchange.push_end() > ask.question.end;
         let asks_anew =
             more && ask.waits_until > ask.at && self.hosts[n].told_end > ask.question.end.0;
         if now >= ask.gives_up + NEXT_IN || asks_anew {
--- a/crates/jacinthbeam-crash/tests/world/store.rs
+++ b/crates/jacinthbeam-crash/tests/world/store.rs
@@ -22,13 +22,13 @@
         let host = &mut self.hosts[n];
         if !std::mem::replace(&mut host.has_read, true) {
             for evidence in self.store.values() {
-                host.exchange.take_recorded(evidence.clone(), at, time_of_day);
+                host.exchange.merge_record(evidence.clone(), at, time_of_day);
             }
         }
         if !is_reader || host.wrote_at.is_some_and(|at| self.now < at + WRITE_EVERY) {
             return;
         }
-        if let Some(evidence) = host.exchange.take_record(at, time_of_day) {
+        if let Some(evidence) = host.exchange.take_due_record(at, time_of_day) {
             host.wrote_at = Some(self.now);
             self.writes.push((self.now + WRITE_TAKES, n, evidence));
             self.written += 1;
--- a/crates/jacinthbeam-host/src/process/control/crashes.rs
+++ b/crates/jacinthbeam-host/src/process/control/crashes.rs
@@ -39,7 +39,7 @@
         };
         tracing::info!(part = "crash", event = "seen", request = %fact.request, crashed = crashed.map(tracing::field::display));
         let now = self.clock.now();
-        self.crashes.see(fact, now);
+        self.crashes.observe(fact, now);
     }
 
     /// Takes what the store holds of crashes that a host knew.
@@ -50,7 +50,7 @@
         let (now, time_of_day) = (self.clock.now(), SystemTime::now());
         match Evidence::from_bytes(&item.value) {
             Ok(evidence) => {
-                if self.crashes.take_recorded(evidence, now, time_of_day) {
+                if self.crashes.merge_record(evidence, now, time_of_day) {
                     tracing::info!(part = "crash", event = "read-back", record = %item.key);
                 }
             }
@@ -66,7 +66,7 @@
         if !may_write || !is_due {
             return;
         }
-        if let Some(evidence) = self.crashes.take_record(now, SystemTime::now()) {
+        if let Some(evidence) = self.crashes.take_due_record(now, SystemTime::now()) {
             tracing::info!(part = "crash", event = "record", facts = %evidence.facts.len());
             self.crashes_told.recorded = Some(now);
             self.evidence.send_replace(evidence.to_bytes().into());
@@ -124,7 +124,7 @@
         self.known.set_suspects(suspects);
         self.publish();
         self.to_tell.send_if_modified(|known| {
-            let to_tell = self.crashes.to_tell();
+            let to_tell = self.crashes.push_end();
             std::mem::replace(known, to_tell) != to_tell
         });
     }
@@ -134,7 +134,7 @@
             return false;
         }
         self.crashes_told.forgot = Some(now);
-        self.crashes.forget(now)
+        self.crashes.expire(now)
     }
 }
 
