--- a/crates/jacinthbeam-crash/src/cases.rs
+++ b/crates/jacinthbeam-crash/src/cases.rs
@@ -131,10 +131,10 @@
         Some(Suspect {
             callers: self.crashes.keys().map(|(_, caller)| *caller).collect(),
             servers: self.crashes.keys().map(|(server, _)| server.clone()).collect(),
-            first: times.clone().min()?,
-            last: times.max()?,
+            first_crash: times.clone().min()?,
+            last_crash: times.max()?,
             attempts: self.crashes.len(),
-            served: self.cleared.values().map(|noted| noted.at).max(),
+            last_cleared: self.cleared.values().map(|noted| noted.at).max(),
         })
     }
 
@@ -151,7 +151,7 @@
     }
 
     fn is_over(&self, now: Instant) -> bool {
-        let is_refused = self.suspect().is_some_and(|suspect| suspect.is_proven());
+        let is_refused = self.suspect().is_some_and(|suspect| suspect.is_quarantined());
         let kept = if is_refused { QUARANTINE_TTL } else { SUSPICION_TTL };
         self.last().is_none_or(|last| now.saturating_duration_since(last) >= kept)
     }
--- a/crates/jacinthbeam-crash/src/recent.rs
+++ b/crates/jacinthbeam-crash/src/recent.rs
@@ -49,11 +49,12 @@
 
     /// What these answers say of requests that servers are known to have crashed under.
     pub fn clear(&self, suspects: &Suspects) -> Vec<Fact> {
-        let of_suspect = |answer: &&Answer| suspects.contains_prefix(answer.head);
+        let of_suspect = |answer: &&Answer| suspects.contains_head(answer.head);
         let facts = self.of.iter().filter(of_suspect).filter_map(|answer| {
             let request = Fingerprint::of(answer.head, &answer.body);
             let suspect = suspects.get(&request)?;
-            let counts = answer.at >= suspect.first && suspect.callers.contains(&answer.caller);
+            let counts =
+                answer.at >= suspect.first_crash && suspect.callers.contains(&answer.caller);
             let outcome = Outcome::Succeeded { caller: answer.caller };
             counts.then_some(Fact { request, outcome, at: answer.at })
         });
--- a/crates/jacinthbeam-crash/src/suspects.rs
+++ b/crates/jacinthbeam-crash/src/suspects.rs
@@ -30,34 +30,34 @@
     /// The servers.
     pub servers: BTreeSet<ServerId>,
     /// When the first of them crashed.
-    pub first: Instant,
+    pub first_crash: Instant,
     /// When the last of them crashed.
-    pub last: Instant,
+    pub last_crash: Instant,
     /// Attempts that they were running.
     pub attempts: usize,
     /// When an attempt of any caller last succeeded.
-    pub served: Option<Instant>,
+    pub last_cleared: Option<Instant>,
 }
 
 impl Suspect {
     /// Whether this request of this caller is refused.
     ///
     /// Evidence is scoped to the caller, so one caller cannot get another caller's requests blocked. Evidence of several callers holds for all.
-    pub fn is_refused(&self, caller: IpAddr) -> bool {
-        self.is_proven() && self.is_shown_for(caller)
+    pub fn is_quarantined_for(&self, caller: IpAddr) -> bool {
+        self.is_quarantined() && self.is_shown_for(caller)
     }
 
     /// Whether it is refused, for some callers at least.
-    pub fn is_proven(&self) -> bool {
+    pub fn is_quarantined(&self) -> bool {
         self.servers.len() >= QUARANTINE_THRESHOLD
-            && self.last.saturating_duration_since(self.first) >= MIN_CRASH_SPAN
+            && self.last_crash.saturating_duration_since(self.first_crash) >= MIN_CRASH_SPAN
     }
 
     /// Whether the request is on probation: one more crash may be enough to refuse it, so attempts are rate-limited fleet-wide.
     pub fn is_on_probation(&self) -> bool {
         let is_doubted =
             self.attempts >= QUARANTINE_THRESHOLD || self.servers.len() + 1 >= QUARANTINE_THRESHOLD;
-        let is_answered = self.served.is_some_and(|served| served > self.last);
+        let is_answered = self.last_cleared.is_some_and(|cleared| cleared > self.last_crash);
         is_doubted && !is_answered
     }
 
@@ -79,7 +79,7 @@
     }
 
     /// Whether one of them has this head.
-    pub fn contains_prefix(&self, head: HeadDigest) -> bool {
+    pub fn contains_head(&self, head: HeadDigest) -> bool {
         let next = self.of.range(Fingerprint::min_with_head(head)..).next();
         next.is_some_and(|(of, _)| of.head() == head)
     }
@@ -90,18 +90,18 @@
     }
 
     /// Whether a request of this caller is refused.
-    pub fn refuse(&self, of: &Fingerprint, caller: IpAddr) -> bool {
-        self.get(of).is_some_and(|suspect| suspect.is_refused(caller))
+    pub fn is_quarantined(&self, of: &Fingerprint, caller: IpAddr) -> bool {
+        self.get(of).is_some_and(|suspect| suspect.is_quarantined_for(caller))
     }
 
     /// When the last server crashed under a request that is on probation for this caller.
     pub fn on_probation(&self, of: &Fingerprint, caller: IpAddr) -> Option<Instant> {
         let suspect = self.get(of).filter(|suspect| suspect.is_shown_for(caller))?;
-        suspect.is_on_probation().then_some(suspect.last)
+        suspect.is_on_probation().then_some(suspect.last_crash)
     }
 
     /// Servers that crashed under a request of this caller.
-    pub fn crashed_under(&self, of: &Fingerprint, caller: IpAddr) -> usize {
+    pub fn crashed_servers(&self, of: &Fingerprint, caller: IpAddr) -> usize {
         let suspect = self.get(of).filter(|suspect| suspect.is_shown_for(caller));
         suspect.map_or(0, |suspect| suspect.servers.len())
     }
--- a/crates/jacinthbeam-crash/tests/cases.rs
+++ b/crates/jacinthbeam-crash/tests/cases.rs
@@ -49,7 +49,7 @@
 }
 
 fn is_refused(cases: &Cases, of: usize, by: u8) -> bool {
-    cases.suspects().refuse(&request(of), caller(by))
+    cases.suspects().is_quarantined(&request(of), caller(by))
 }
 
 #[test]
@@ -180,7 +180,7 @@
     let now = Instant::now();
     let head = |n: usize| HeadDigest::of(&[b"GET", &n.to_be_bytes()]);
     let suspects = cases([ended(1, 1, 1, now)], now).suspects();
-    assert!(suspects.contains_prefix(head(1)) && !suspects.contains_prefix(head(2)));
+    assert!(suspects.contains_head(head(1)) && !suspects.contains_head(head(2)));
     assert!(suspects.get(&Fingerprint::of(head(1), b"another body")).is_none());
 }
 
--- a/crates/jacinthbeam-crash/tests/evidence.rs
+++ b/crates/jacinthbeam-crash/tests/evidence.rs
@@ -30,7 +30,7 @@
 }
 
 fn servers(host: &Exchange, of: usize) -> usize {
-    host.suspects().crashed_under(&request(of), CALLER)
+    host.suspects().crashed_servers(&request(of), CALLER)
 }
 
 /// What a host records that saw so many servers crash under one request, and when the last did.
@@ -152,7 +152,7 @@
     a.expire(now);
     let mut late = host("b", 1);
     late.on_answer(addr, a.answer(&late.question(addr, now), now), now);
-    assert!(late.suspects().refuse(&request(1), CALLER));
+    assert!(late.suspects().is_quarantined(&request(1), CALLER));
 }
 
 /// Load pattern: all servers of a failure domain crash at once. Guards against a record that grows with the fleet, and one that leaves out
--- a/crates/jacinthbeam-crash/tests/world/mod.rs
+++ b/crates/jacinthbeam-crash/tests/world/mod.rs
@@ -173,7 +173,7 @@
     }
 
     pub fn refuses(&self, n: usize, of: u64, by: u64) -> bool {
-        self.hosts[n].suspects.refuse(&request(of), caller(by))
+        self.hosts[n].suspects.is_quarantined(&request(of), caller(by))
     }
 
     /// Whether a host sends an attempt of a request, as requests are admitted.
--- a/crates/jacinthbeam-host/src/process/control/crashes.rs
+++ b/crates/jacinthbeam-host/src/process/control/crashes.rs
@@ -119,7 +119,7 @@
         self.crashes_told.at = Some(now);
         self.crashes_told.end = self.crashes.end();
         let suspects = self.crashes.suspects();
-        let refused = suspects.iter().filter(|(_, suspect)| suspect.is_proven());
+        let refused = suspects.iter().filter(|(_, suspect)| suspect.is_quarantined());
         self.counters.on_suspects(suspects.iter().count(), refused.count());
         self.known.set_suspects(suspects);
         self.publish();
--- a/crates/jacinthbeam-host/src/process/status.rs
+++ b/crates/jacinthbeam-host/src/process/status.rs
@@ -51,11 +51,11 @@
     fn of(suspect: &Suspect, now: Instant) -> Self {
         let ago = |at: Instant| now.saturating_duration_since(at).as_millis() as u64;
         Self {
-            refused: suspect.is_proven(),
+            refused: suspect.is_quarantined(),
             callers: suspect.callers.iter().copied().collect(),
             servers: suspect.servers.iter().cloned().collect(),
-            first_ms_ago: ago(suspect.first),
-            last_ms_ago: ago(suspect.last),
+            first_ms_ago: ago(suspect.first_crash),
+            last_ms_ago: ago(suspect.last_crash),
         }
     }
 }
--- a/crates/jacinthbeam-host/src/request/crash.rs
+++ b/crates/jacinthbeam-host/src/request/crash.rs
@@ -51,7 +51,7 @@
     /// Why the request is not sent to a server now; `None` if it may be.
     pub(super) fn refused(self, view: &View) -> Option<Quarantine> {
         let request = same::fingerprint_among(&view.suspects, self.whole)?;
-        if view.suspects.refuse(&request, self.caller) {
+        if view.suspects.is_quarantined(&request, self.caller) {
             return Some(Quarantine { request, is_proven: true });
         }
         let last = view.suspects.on_probation(&request, self.caller)?;
@@ -69,7 +69,8 @@
             return true;
         }
         let request = same::fingerprint_among(&view.suspects, self.whole);
-        let known = request.map_or(0, |request| view.suspects.crashed_under(&request, self.caller));
+        let known =
+            request.map_or(0, |request| view.suspects.crashed_servers(&request, self.caller));
         known.max(ended.len()) + 1 < QUARANTINE_THRESHOLD
     }
 
@@ -116,7 +117,7 @@
         self.traffic.on_good_answer(same::head(self.whole), body, self.caller);
         let request = same::fingerprint_among(&view.suspects, self.whole);
         let is_suspect =
-            |request: &Fingerprint| view.suspects.crashed_under(request, self.caller) > 0;
+            |request: &Fingerprint| view.suspects.crashed_servers(request, self.caller) > 0;
         if let Some(request) = request.filter(is_suspect) {
             let outcome = Outcome::Succeeded { caller: self.caller };
             self.traffic.tell_crash(Fact { request, outcome, at: self.traffic.now() });
--- a/crates/jacinthbeam-host/src/request/same.rs
+++ b/crates/jacinthbeam-host/src/request/same.rs
@@ -18,7 +18,7 @@
         return None;
     }
     let head = head(whole);
-    suspects.contains_prefix(head).then(|| Fingerprint::of(head, &whole.body))
+    suspects.contains_head(head).then(|| Fingerprint::of(head, &whole.body))
 }
 
 /// What the head of a request says.
