--- a/crates/jacinthbeam-crash/src/lib.rs
+++ b/crates/jacinthbeam-crash/src/lib.rs
@@ -18,5 +18,5 @@
 pub use exchange::Exchange;
 pub use fingerprint::Fingerprint;
 pub use probe::Prober;
-pub use recent::RecentAnswers;
+pub use recent::RecentSuccesses;
 pub use suspects::Suspects;
--- a/crates/jacinthbeam-crash/src/probe.rs
+++ b/crates/jacinthbeam-crash/src/probe.rs
@@ -13,7 +13,7 @@
 use crate::fingerprint::Fingerprint;
 
 /// Length of a slot: hosts in touch observe a crash within it.
-pub const SLOT: Duration = Duration::from_secs(1);
+pub const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Time without a crash after which the number of drawn hosts doubles, and doubles again.
 const DOUBLES_IN: Duration = Duration::from_secs(20);
@@ -22,9 +22,9 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Rank {
     /// Hosts before it.
-    pub of: u32,
+    pub index: u32,
     /// All hosts; 0 if the host is not on its own list.
-    pub among: u32,
+    pub total: u32,
 }
 
 /// The probes of one host.
@@ -44,7 +44,7 @@
         time_of_day: SystemTime,
     ) -> bool {
         let now = time_of_day.duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
-        let slot = now.as_millis() / SLOT.as_millis();
+        let slot = now.as_millis() / PROBE_INTERVAL.as_millis();
         if !is_drawn(request, rank, since, slot) || self.used.get(&request) == Some(&slot) {
             return false;
         }
@@ -55,11 +55,11 @@
 }
 
 fn is_drawn(request: Fingerprint, rank: Rank, since: Duration, slot: u128) -> bool {
-    if rank.among == 0 {
+    if rank.total == 0 {
         return false;
     }
     let drawn = (since.as_secs() / DOUBLES_IN.as_secs()).min(31) as u32;
-    let first = KeyHash::of(format!("{request} {slot}").as_bytes()).0 % u64::from(rank.among);
-    let after = (u64::from(rank.of) + u64::from(rank.among) - first) % u64::from(rank.among);
+    let first = KeyHash::of(format!("{request} {slot}").as_bytes()).0 % u64::from(rank.total);
+    let after = (u64::from(rank.index) + u64::from(rank.total) - first) % u64::from(rank.total);
     after < 1 << drawn
 }
--- a/crates/jacinthbeam-crash/src/recent.rs
+++ b/crates/jacinthbeam-crash/src/recent.rs
@@ -33,11 +33,11 @@
 
 /// Requests that this host answered lately.
 #[derive(Debug, Default)]
-pub struct RecentAnswers {
+pub struct RecentSuccesses {
     of: VecDeque<Answer>,
 }
 
-impl RecentAnswers {
+impl RecentSuccesses {
     /// A request of `caller` ran to a good end.
     pub fn add(&mut self, head: HeadDigest, body: Bytes, caller: IpAddr, at: Instant) {
         let is_old = |answer: &Answer| at.saturating_duration_since(answer.at) >= RETENTION;
@@ -48,7 +48,7 @@
     }
 
     /// What these answers say of requests that servers are known to have crashed under.
-    pub fn clear(&self, suspects: &Suspects) -> Vec<Fact> {
+    pub fn facts_for(&self, suspects: &Suspects) -> Vec<Fact> {
         let of_suspect = |answer: &&Answer| suspects.contains_head(answer.head);
         let facts = self.of.iter().filter(of_suspect).filter_map(|answer| {
             let request = Fingerprint::of(answer.head, &answer.body);
--- a/crates/jacinthbeam-crash/tests/world/mod.rs
+++ b/crates/jacinthbeam-crash/tests/world/mod.rs
@@ -14,7 +14,7 @@
 
 use bytes::Bytes;
 use jacinthbeam_crash::{
-    Evidence, Exchange, Fact, Fingerprint, Outcome, Prober, RecentAnswers, Suspects,
+    Evidence, Exchange, Fact, Fingerprint, Outcome, Prober, RecentSuccesses, Suspects,
     fingerprint::HeadDigest, probe::Rank,
 };
 use jacinthbeam_types::prelude::*;
@@ -49,7 +49,7 @@
     told_at: u64,
     told_end: u64,
     asks: BTreeMap<usize, Ask>,
-    recent: RecentAnswers,
+    recent: RecentSuccesses,
     prober: Prober,
     /// Whether it has read the store since its start.
     has_read: bool,
@@ -126,7 +126,7 @@
             told_at: 0,
             told_end: 0,
             asks: BTreeMap::new(),
-            recent: RecentAnswers::default(),
+            recent: RecentSuccesses::default(),
             prober: Prober::default(),
             has_read: false,
             wrote_at: None,
@@ -182,7 +182,7 @@
             return false;
         }
         let (at, time_of_day) = (self.at(), self.time_of_day());
-        let rank = Rank { of: n as u32, among: self.hosts.len() as u32 };
+        let rank = Rank { index: n as u32, total: self.hosts.len() as u32 };
         let host = &mut self.hosts[n];
         let (request, caller) = (request(of), caller(by));
         let Some(last) = host.suspects.on_probation(&request, caller) else { return true };
@@ -272,7 +272,7 @@
         if end != host.told_end && now >= host.told_at + TELL_EVERY {
             (host.told_at, host.told_end) = (now, end);
             host.suspects = host.exchange.suspects();
-            for fact in host.recent.clear(&host.suspects) {
+            for fact in host.recent.facts_for(&host.suspects) {
                 host.exchange.observe(fact, at);
             }
         }
--- a/crates/jacinthbeam-host/src/process/known/hosts.rs
+++ b/crates/jacinthbeam-host/src/process/known/hosts.rs
@@ -17,9 +17,10 @@
     /// The place of a host in the list of hosts.
     pub fn rank(&self, host: &HostId) -> Rank {
         match self.hosts.contains_key(host) {
-            true => {
-                Rank { of: self.hosts.range(..host).count() as u32, among: self.hosts.len() as u32 }
-            }
+            true => Rank {
+                index: self.hosts.range(..host).count() as u32,
+                total: self.hosts.len() as u32,
+            },
             false => Rank::default(),
         }
     }
--- a/crates/jacinthbeam-host/src/process/traffic.rs
+++ b/crates/jacinthbeam-host/src/process/traffic.rs
@@ -11,7 +11,7 @@
 
 use bytes::Bytes;
 use jacinthbeam_crash::{
-    Fact, Fingerprint, Prober, RecentAnswers, Suspects, fingerprint::HeadDigest, probe::Rank,
+    Fact, Fingerprint, Prober, RecentSuccesses, Suspects, fingerprint::HeadDigest, probe::Rank,
 };
 use jacinthbeam_dispatch::{Budget, Seen, slow_start::Pacer};
 use jacinthbeam_range::{Key, admission::Gate, demand::Report};
@@ -55,7 +55,7 @@
     budgets: RefCell<BTreeMap<ServiceName, Budget>>,
     dealers: RefCell<BTreeMap<String, Dealer>>,
     reports: RefCell<BTreeMap<ServiceName, Report>>,
-    recent: RefCell<RecentAnswers>,
+    recent: RefCell<RecentSuccesses>,
     prober: RefCell<Prober>,
     /// The suspects that the recent answers were last compared with.
     compared: RefCell<Arc<Suspects>>,
@@ -326,7 +326,7 @@
         if Arc::ptr_eq(&self.compared.replace(suspects.clone()), &suspects) {
             return;
         }
-        for fact in self.recent.borrow().clear(&suspects) {
+        for fact in self.recent.borrow().facts_for(&suspects) {
             self.tell_crash(fact);
         }
     }
--- a/crates/jacinthbeam-host/src/request/end.rs
+++ b/crates/jacinthbeam-host/src/request/end.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use http::{Response, header};
 use http_body_util::Full;
-use jacinthbeam_crash::probe::SLOT;
+use jacinthbeam_crash::probe::PROBE_INTERVAL;
 use jacinthbeam_dispatch::refusal::{retry_after, room_in};
 use jacinthbeam_types::prelude::*;
 
@@ -44,7 +44,7 @@
 pub(super) fn refuse_for_crashes(job: &Job, quarantine: Quarantine) -> Response<Full<Bytes>> {
     job.traffic.counters.on_refused_for_crashes(quarantine.request);
     let refusal = Refusal::not_run(Reason::EndsServers);
-    let hint = || retry_after(SLOT, job.left(), fastrand::f64());
+    let hint = || retry_after(PROBE_INTERVAL, job.left(), fastrand::f64());
     let refusal = if quarantine.is_proven { refusal } else { refusal.retry_after(hint()) };
     let basis = || basis(job, 0);
     refuse(&job.traffic, &job.whole.id, &job.route.name, &refusal, job.received, basis)
