--- a/crates/jacinthbeam-route/src/server.rs
+++ b/crates/jacinthbeam-route/src/server.rs
@@ -60,7 +60,7 @@
         let first = ServerId::from(id.name().clone());
         let lives = self.by_id.range(first..).take_while(|(other, _)| other.name() == id.name());
         let latest = lives.last().map(|(_, server)| server);
-        latest.filter(|server| server.id.is_other_life(id))
+        latest.filter(|server| server.id.is_other_incarnation(id))
     }
 
     /// The server with this id.
--- a/crates/jacinthbeam-types/src/id.rs
+++ b/crates/jacinthbeam-types/src/id.rs
@@ -5,14 +5,14 @@
 use serde::{Deserialize, Serialize};
 
 /// Longest accepted name, in bytes. Names travel in every message between hosts.
-pub const MAX_NAME: usize = 128;
+pub const MAX_NAME_BYTES: usize = 128;
 
 /// Why a text is no valid name.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum NameError {
     /// The text is empty.
     Empty,
-    /// The text is longer than [`MAX_NAME`] bytes.
+    /// The text is longer than [`MAX_NAME_BYTES`] bytes.
     TooLong(usize),
     /// The text contains a character outside `a-z A-Z 0-9 . _ : -`.
     BadCharacter(char),
@@ -23,7 +23,7 @@
         match self {
             Self::Empty => f.write_str("a name must not be empty"),
             Self::TooLong(len) => {
-                write!(f, "a name has at most {MAX_NAME} bytes, this one has {len}")
+                write!(f, "a name has at most {MAX_NAME_BYTES} bytes, this one has {len}")
             }
             Self::BadCharacter(c) => {
                 write!(f, "a name is made of letters, digits and `. _ : -`, not {c:?}")
@@ -38,7 +38,7 @@
     if text.is_empty() {
         return Err(NameError::Empty);
     }
-    if text.len() > MAX_NAME {
+    if text.len() > MAX_NAME_BYTES {
         return Err(NameError::TooLong(text.len()));
     }
     match text.chars().find(|c| !c.is_ascii_alphanumeric() && !"._:-".contains(*c)) {
--- a/crates/jacinthbeam-types/src/server.rs
+++ b/crates/jacinthbeam-types/src/server.rs
@@ -40,7 +40,7 @@
     }
 
     /// Whether `other` is another life under the same name.
-    pub fn is_other_life(&self, other: &Self) -> bool {
+    pub fn is_other_incarnation(&self, other: &Self) -> bool {
         self.name == other.name && self.born != other.born
     }
 }
