--- a/crates/jacinthbeam-crash/src/probe.rs
+++ b/crates/jacinthbeam-crash/src/probe.rs
@@ -24,7 +24,7 @@
     /// Hosts before it.
     pub index: u32,
     /// All hosts; 0 if the host is not on its own list.
-    pub total: u32,
+    pub hosts: u32,
 }
 
 /// The probes of one host.
@@ -55,11 +55,11 @@
 }
 
 fn is_drawn(request: Fingerprint, rank: Rank, since: Duration, slot: u128) -> bool {
-    if rank.total == 0 {
+    if rank.hosts == 0 {
         return false;
     }
     let drawn = (since.as_secs() / DOUBLES_IN.as_secs()).min(31) as u32;
-    let first = KeyHash::of(format!("{request} {slot}").as_bytes()).0 % u64::from(rank.total);
-    let after = (u64::from(rank.index) + u64::from(rank.total) - first) % u64::from(rank.total);
+    let first = KeyHash::of(format!("{request} {slot}").as_bytes()).0 % u64::from(rank.hosts);
+    let after = (u64::from(rank.index) + u64::from(rank.hosts) - first) % u64::from(rank.hosts);
     after < 1 << drawn
 }
--- a/crates/jacinthbeam-crash/tests/world/mod.rs
+++ b/crates/jacinthbeam-crash/tests/world/mod.rs
@@ -182,7 +182,7 @@
             return false;
         }
         let (at, time_of_day) = (self.at(), self.time_of_day());
-        let rank = Rank { index: n as u32, total: self.hosts.len() as u32 };
+        let rank = Rank { index: n as u32, hosts: self.hosts.len() as u32 };
         let host = &mut self.hosts[n];
         let (request, caller) = (request(of), caller(by));
         let Some(last) = host.suspects.on_probation(&request, caller) else { return true };
--- a/crates/jacinthbeam-host/src/process/known/hosts.rs
+++ b/crates/jacinthbeam-host/src/process/known/hosts.rs
@@ -19,7 +19,7 @@
         match self.hosts.contains_key(host) {
             true => Rank {
                 index: self.hosts.range(..host).count() as u32,
-                total: self.hosts.len() as u32,
+                hosts: self.hosts.len() as u32,
             },
             false => Rank::default(),
         }
