--- a/crates/jacinthbeam-crash/src/cases.rs
+++ b/crates/jacinthbeam-crash/src/cases.rs
@@ -37,7 +37,7 @@
 
 /// How many facts a host has come to know before another.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Position(pub u64);
+pub struct LogPosition(pub u64);
 
 /// What happened to a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -112,7 +112,7 @@
 #[derive(Debug, Clone)]
 struct Noted {
     at: Instant,
-    position: Position,
+    position: LogPosition,
     source: Source,
 }
 
@@ -171,12 +171,12 @@
 #[derive(Debug, Default)]
 pub struct Cases {
     of: BTreeMap<Fingerprint, Case>,
-    end: Position,
+    end: LogPosition,
 }
 
 impl Cases {
     /// The position of the next fact.
-    pub fn end(&self) -> Position {
+    pub fn end(&self) -> LogPosition {
         self.end
     }
 
@@ -246,7 +246,12 @@
 
     /// What came to be known at `from` or later and was not told by the host `to`: so many facts at the most, in their order, and the
     /// position after the last of them.
-    pub fn since(&self, from: Position, to: Option<&HostId>, most: usize) -> (Vec<Fact>, Position) {
+    pub fn since(
+        &self,
+        from: LogPosition,
+        to: Option<&HostId>,
+        most: usize,
+    ) -> (Vec<Fact>, LogPosition) {
         if from >= self.end {
             return (Vec::new(), self.end);
         }
--- a/crates/jacinthbeam-crash/src/exchange.rs
+++ b/crates/jacinthbeam-crash/src/exchange.rs
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    cases::{AgedFact, Cases, Fact, Position, Source},
+    cases::{AgedFact, Cases, Fact, LogPosition, Source},
     evidence::{Evidence, MAX_FACTS_PER_RECORD},
     suspects::Suspects,
 };
@@ -25,7 +25,7 @@
 const MOST_PEERS: usize = 128;
 
 /// How far one host's list is known: a life of its process, and a position in the list that it keeps.
-pub type Cursor = (Incarnation, Position);
+pub type Cursor = (Incarnation, LogPosition);
 
 /// What the asking host tells with its question.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -37,7 +37,7 @@
     /// What that host has not heard from it.
     pub facts: Vec<AgedFact>,
     /// The position after them in its own list.
-    pub end: Position,
+    pub end: LogPosition,
 }
 
 /// What the answering host tells.
@@ -50,9 +50,9 @@
     /// What the asking host has not heard from it.
     pub facts: Vec<AgedFact>,
     /// The position after them in its own list.
-    pub end: Position,
+    pub end: LogPosition,
     /// The position that the question ended at: everything before it was taken.
-    pub taken: Position,
+    pub taken: LogPosition,
 }
 
 /// What is known of another host that this one asks.
@@ -72,7 +72,7 @@
     life: Incarnation,
     cases: Cases,
     /// The position after the last fact that was not the answer to a question of this host.
-    push_end: Position,
+    push_end: LogPosition,
     peers: BTreeMap<SocketAddr, Peer>,
     /// Whether facts have come, other than in answers to this host, that its record in the store does not hold.
     is_record_due: bool,
@@ -85,19 +85,19 @@
             me,
             life,
             cases: Cases::default(),
-            push_end: Position::default(),
+            push_end: LogPosition::default(),
             peers: BTreeMap::new(),
             is_record_due: false,
         }
     }
 
     /// The position of the next fact.
-    pub fn end(&self) -> Position {
+    pub fn end(&self) -> LogPosition {
         self.cases.end()
     }
 
     /// The position up to which the hosts that this one asks should be told, without waiting for the next question.
-    pub fn push_end(&self) -> Position {
+    pub fn push_end(&self) -> LogPosition {
         self.push_end
     }
 
@@ -136,7 +136,7 @@
     /// What to tell the host at `to` with a question.
     pub fn question(&self, to: SocketAddr, now: Instant) -> Question {
         let peer = self.peers.get(&to);
-        let told = peer.and_then(|peer| peer.told).map_or(Position::default(), |(_, end)| end);
+        let told = peer.and_then(|peer| peer.told).map_or(LogPosition::default(), |(_, end)| end);
         let host = peer.and_then(|peer| peer.host.as_ref());
         let (facts, end) = self.cases.since(told, host, MAX_FACTS_PER_MESSAGE);
         let knows = peer.and_then(|peer| peer.heard);
@@ -149,7 +149,7 @@
         self.is_record_due |= adds;
         self.advance_push_end(adds);
         let known = question.knows.filter(|(life, _)| *life == self.life);
-        let known = known.map_or(Position::default(), |(_, end)| end);
+        let known = known.map_or(LogPosition::default(), |(_, end)| end);
         let (facts, end) = self.cases.since(known, Some(&question.from), MAX_FACTS_PER_MESSAGE);
         let facts = aged(facts, now);
         Answer { from: self.me.clone(), life: self.life, facts, end, taken: question.end }
--- a/crates/jacinthbeam-host/src/process/control/ask.rs
+++ b/crates/jacinthbeam-host/src/process/control/ask.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
-use jacinthbeam_crash::cases::Position;
+use jacinthbeam_crash::cases::LogPosition;
 use jacinthbeam_types::prelude::*;
 use tokio::sync::{oneshot, watch};
 
@@ -26,7 +26,7 @@
 pub(super) struct Asker {
     pub(super) clock: Arc<dyn Clock>,
     /// How far this host's own list of facts has to be told without waiting for the next question.
-    pub(super) to_tell: watch::Receiver<Position>,
+    pub(super) to_tell: watch::Receiver<LogPosition>,
     pub(super) tx: Tx,
 }
 
@@ -69,7 +69,7 @@
 
     /// Waits until there is something to tell that the question lacks. One that doesn't hold all that there was is answered at once.
     async fn more_to_tell(&self, asked: &Asked) {
-        let told = asked.crashes.as_ref().map_or(Position::default(), |question| question.end);
+        let told = asked.crashes.as_ref().map_or(LogPosition::default(), |question| question.end);
         let mut to_tell = self.to_tell.clone();
         let more = to_tell.wait_for(|to_tell| !asked.wait.is_zero() && *to_tell > told).await;
         if more.is_err() {
--- a/crates/jacinthbeam-host/src/process/control/crashes.rs
+++ b/crates/jacinthbeam-host/src/process/control/crashes.rs
@@ -6,7 +6,7 @@
 };
 
 use bytes::Bytes;
-use jacinthbeam_crash::{Evidence, Fact, Outcome, cases::Position, exchange};
+use jacinthbeam_crash::{Evidence, Fact, Outcome, cases::LogPosition, exchange};
 use jacinthbeam_store::{Backoff, Call, Item, Lane, Partition};
 use tokio::sync::watch;
 
@@ -172,7 +172,7 @@
 #[derive(Debug, Default, Clone, Copy)]
 pub(super) struct SyncState {
     at: Option<Instant>,
-    end: Position,
+    end: LogPosition,
     /// When this host last had something to record.
     recorded: Option<Instant>,
     /// When it was last looked for what has stood for long enough.
--- a/crates/jacinthbeam-host/src/process/control/state.rs
+++ b/crates/jacinthbeam-host/src/process/control/state.rs
@@ -8,7 +8,7 @@
 };
 
 use bytes::Bytes;
-use jacinthbeam_crash::{Exchange, cases::Position};
+use jacinthbeam_crash::{Exchange, cases::LogPosition};
 use jacinthbeam_range::{Event, Grantor, Leader};
 use jacinthbeam_store::{Client, Observer, Partition};
 use jacinthbeam_types::prelude::*;
@@ -86,7 +86,7 @@
     /// Whether the list of hosts was read from the store in this life, and the evidence beside it.
     pub(super) has_read_hosts: bool,
     /// How far other hosts have to be told without waiting for the next question.
-    pub(super) to_tell: watch::Sender<Position>,
+    pub(super) to_tell: watch::Sender<LogPosition>,
     /// When this host last heard of the store, by itself or through others.
     pub(super) heard: Rc<Heard>,
     /// Whether this host asks the store itself.
@@ -138,7 +138,7 @@
             crashes_told: crashes::SyncState::default(),
             evidence: watch::channel(Bytes::new()).0,
             has_read_hosts: false,
-            to_tell: watch::channel(Position::default()).0,
+            to_tell: watch::channel(LogPosition::default()).0,
             heard: Rc::default(),
             direct: Rc::new(watch::channel(false).0),
             neighbours: watch::channel(None).0,
