--- a/crates/jacinthbeam-crash/src/cases.rs
+++ b/crates/jacinthbeam-crash/src/cases.rs
@@ -19,14 +19,14 @@
 };
 
 /// How long a request stays suspect after the last crash under it.
-pub const DOUBTED_FOR: Duration = Duration::from_secs(10 * 60);
+pub const SUSPICION_TTL: Duration = Duration::from_secs(10 * 60);
 
-/// How long a request is refused after the last crash under it. Then [`PROOF`](crate::suspects::PROOF) further crashes are needed, in case it
+/// How long a request is refused after the last crash under it. Then [`QUARANTINE_THRESHOLD`](crate::suspects::QUARANTINE_THRESHOLD) further crashes are needed, in case it
 /// was fixed.
-pub const REFUSED_FOR: Duration = Duration::from_secs(60 * 60);
+pub const QUARANTINE_TTL: Duration = Duration::from_secs(60 * 60);
 
 /// Requests that are kept. Those with the fewest crashes are evicted first, then the oldest.
-pub const MOST_CASES: usize = 1024;
+pub const MAX_CASES: usize = 1024;
 
 /// Facts that are kept of one request; more of them would change nothing.
 const MOST_OF_ONE: usize = 16;
@@ -37,7 +37,7 @@
 
 /// How many facts a host has come to know before another.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Position(pub u64);
+pub struct LogPosition(pub u64);
 
 /// What happened to a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -73,7 +73,7 @@
 
 /// A fact as it leaves a host: clocks of hosts have nothing in common, so it bears its age.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Aged {
+pub struct AgedFact {
     /// The request.
     pub request: Fingerprint,
     /// What happened.
@@ -82,7 +82,7 @@
     pub age: Duration,
 }
 
-impl Aged {
+impl AgedFact {
     /// The fact, by a clock at `now`; `None` if the clock does not reach back to it.
     pub fn at(self, now: Instant) -> Option<Fact> {
         let Self { request, outcome, age } = self;
@@ -92,9 +92,9 @@
 
 impl Fact {
     /// The fact as it leaves this host at `now`.
-    pub fn aged(self, now: Instant) -> Aged {
+    pub fn aged(self, now: Instant) -> AgedFact {
         let Self { request, outcome, at } = self;
-        Aged { request, outcome, age: now.saturating_duration_since(at) }
+        AgedFact { request, outcome, age: now.saturating_duration_since(at) }
     }
 }
 
@@ -102,17 +102,17 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Source {
     /// This host saw it.
-    Seen,
+    Observed,
     /// Another host told it.
-    Told(HostId),
+    Peer(HostId),
     /// It was read from the store.
-    Recorded,
+    Store,
 }
 
 #[derive(Debug, Clone)]
 struct Noted {
     at: Instant,
-    position: Position,
+    position: LogPosition,
     source: Source,
 }
 
@@ -131,10 +131,10 @@
         Some(Suspect {
             callers: self.crashes.keys().map(|(_, caller)| *caller).collect(),
             servers: self.crashes.keys().map(|(server, _)| server.clone()).collect(),
-            first: times.clone().min()?,
-            last: times.max()?,
+            first_crash: times.clone().min()?,
+            last_crash: times.max()?,
             attempts: self.crashes.len(),
-            served: self.cleared.values().map(|noted| noted.at).max(),
+            last_cleared: self.cleared.values().map(|noted| noted.at).max(),
         })
     }
 
@@ -151,8 +151,8 @@
     }
 
     fn is_over(&self, now: Instant) -> bool {
-        let is_refused = self.suspect().is_some_and(|suspect| suspect.is_proven());
-        let kept = if is_refused { REFUSED_FOR } else { DOUBTED_FOR };
+        let is_refused = self.suspect().is_some_and(|suspect| suspect.is_quarantined());
+        let kept = if is_refused { QUARANTINE_TTL } else { SUSPICION_TTL };
         self.last().is_none_or(|last| now.saturating_duration_since(last) >= kept)
     }
 
@@ -171,24 +171,24 @@
 #[derive(Debug, Default)]
 pub struct Cases {
     of: BTreeMap<Fingerprint, Case>,
-    end: Position,
+    end: LogPosition,
 }
 
 impl Cases {
     /// The position of the next fact.
-    pub fn end(&self) -> Position {
+    pub fn end(&self) -> LogPosition {
         self.end
     }
 
     /// Takes a fact. Returns whether it adds anything.
-    pub fn take(&mut self, fact: Fact, source: Source, now: Instant) -> bool {
-        self.take_all([fact], &source, now)
+    pub fn merge(&mut self, fact: Fact, source: Source, now: Instant) -> bool {
+        self.merge_all([fact], &source, now)
     }
 
     /// Takes facts that come together. Returns whether any of them adds anything.
     ///
     /// Only all facts of a request say for how long it is kept.
-    pub fn take_all(
+    pub fn merge_all(
         &mut self,
         facts: impl IntoIterator<Item = Fact>,
         source: &Source,
@@ -230,7 +230,7 @@
     }
 
     fn make_room(&mut self) {
-        while self.of.len() > MOST_CASES {
+        while self.of.len() > MAX_CASES {
             let least = self.of.iter().min_by_key(|(_, case)| (case.servers(), case.last()));
             let Some(least) = least.map(|(request, _)| *request) else { return };
             self.of.remove(&least);
@@ -238,7 +238,7 @@
     }
 
     /// Forgets what has stood for long enough. Returns whether there was any.
-    pub fn forget(&mut self, now: Instant) -> bool {
+    pub fn expire(&mut self, now: Instant) -> bool {
         let before = self.of.len();
         self.of.retain(|_, case| !case.is_over(now));
         self.of.len() != before
@@ -246,7 +246,12 @@
 
     /// What came to be known at `from` or later and was not told by the host `to`: so many facts at the most, in their order, and the
     /// position after the last of them.
-    pub fn since(&self, from: Position, to: Option<&HostId>, most: usize) -> (Vec<Fact>, Position) {
+    pub fn since(
+        &self,
+        from: LogPosition,
+        to: Option<&HostId>,
+        most: usize,
+    ) -> (Vec<Fact>, LogPosition) {
         if from >= self.end {
             return (Vec::new(), self.end);
         }
@@ -254,8 +259,8 @@
         for (request, case) in &self.of {
             let new = case.notes().filter(|(_, noted)| {
                 let told_by = match &noted.source {
-                    Source::Told(host) => Some(host),
-                    Source::Seen | Source::Recorded => None,
+                    Source::Peer(host) => Some(host),
+                    Source::Observed | Source::Store => None,
                 };
                 noted.position >= from && (to.is_none() || told_by != to)
             });
@@ -273,7 +278,7 @@
     }
 
     /// Facts of the requests under which most servers crashed, then of the latest: so many at the most.
-    pub fn weightiest(&self, most: usize) -> Vec<Fact> {
+    pub fn strongest_facts(&self, most: usize) -> Vec<Fact> {
         let mut cases: Vec<(&Fingerprint, &Case)> = self.of.iter().collect();
         cases.sort_by_cached_key(|(_, case)| Reverse((case.servers(), case.last())));
         let facts = cases.into_iter().flat_map(|(request, case)| {
--- a/crates/jacinthbeam-crash/src/exchange.rs
+++ b/crates/jacinthbeam-crash/src/exchange.rs
@@ -13,19 +13,19 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    cases::{Aged, Cases, Fact, Position, Source},
-    evidence::{Evidence, MOST_RECORDED},
+    cases::{AgedFact, Cases, Fact, LogPosition, Source},
+    evidence::{Evidence, MAX_FACTS_PER_RECORD},
     suspects::Suspects,
 };
 
 /// Facts of one message, of up to some 70 bytes each.
-pub const MOST_TOLD: usize = 256;
+pub const MAX_FACTS_PER_MESSAGE: usize = 256;
 
 /// Hosts that are remembered as told and heard; a host asks a few of its own failure domain and one of each other.
 const MOST_PEERS: usize = 128;
 
 /// How far one host's list is known: a life of its process, and a position in the list that it keeps.
-pub type Reach = (Incarnation, Position);
+pub type Cursor = (Incarnation, LogPosition);
 
 /// What the asking host tells with its question.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -33,11 +33,11 @@
     /// The asking host.
     pub from: HostId,
     /// How far it knows the list of the host that it asks.
-    pub knows: Option<Reach>,
+    pub knows: Option<Cursor>,
     /// What that host has not heard from it.
-    pub facts: Vec<Aged>,
+    pub facts: Vec<AgedFact>,
     /// The position after them in its own list.
-    pub end: Position,
+    pub end: LogPosition,
 }
 
 /// What the answering host tells.
@@ -48,11 +48,11 @@
     /// The life of its process.
     pub life: Incarnation,
     /// What the asking host has not heard from it.
-    pub facts: Vec<Aged>,
+    pub facts: Vec<AgedFact>,
     /// The position after them in its own list.
-    pub end: Position,
+    pub end: LogPosition,
     /// The position that the question ended at: everything before it was taken.
-    pub taken: Position,
+    pub taken: LogPosition,
 }
 
 /// What is known of another host that this one asks.
@@ -60,9 +60,9 @@
 struct Peer {
     host: Option<HostId>,
     /// How far its list is known here.
-    heard: Option<Reach>,
+    heard: Option<Cursor>,
     /// How far it knows the list of this host, in which life of its own.
-    told: Option<Reach>,
+    told: Option<Cursor>,
 }
 
 /// All facts of one host, and how far it has exchanged them with others.
@@ -72,7 +72,7 @@
     life: Incarnation,
     cases: Cases,
     /// The position after the last fact that was not the answer to a question of this host.
-    to_tell: Position,
+    push_end: LogPosition,
     peers: BTreeMap<SocketAddr, Peer>,
     /// Whether facts have come, other than in answers to this host, that its record in the store does not hold.
     is_record_due: bool,
@@ -85,60 +85,60 @@
             me,
             life,
             cases: Cases::default(),
-            to_tell: Position::default(),
+            push_end: LogPosition::default(),
             peers: BTreeMap::new(),
             is_record_due: false,
         }
     }
 
     /// The position of the next fact.
-    pub fn end(&self) -> Position {
+    pub fn end(&self) -> LogPosition {
         self.cases.end()
     }
 
     /// The position up to which the hosts that this one asks should be told, without waiting for the next question.
-    pub fn to_tell(&self) -> Position {
-        self.to_tell
+    pub fn push_end(&self) -> LogPosition {
+        self.push_end
     }
 
     /// Takes a fact that was seen here. Returns whether it adds anything.
-    pub fn see(&mut self, fact: Fact, now: Instant) -> bool {
-        let adds = self.cases.take(fact, Source::Seen, now);
+    pub fn observe(&mut self, fact: Fact, now: Instant) -> bool {
+        let adds = self.cases.merge(fact, Source::Observed, now);
         self.is_record_due |= adds;
-        self.note_to_tell(adds);
+        self.advance_push_end(adds);
         adds
     }
 
     /// Takes the record of a host that the store holds. Returns whether it adds anything.
-    pub fn take_recorded(
+    pub fn merge_record(
         &mut self,
         evidence: Evidence,
         now: Instant,
         time_of_day: SystemTime,
     ) -> bool {
         let facts = evidence.facts(now, time_of_day);
-        let adds = self.cases.take_all(facts, &Source::Recorded, now);
-        self.note_to_tell(adds);
+        let adds = self.cases.merge_all(facts, &Source::Store, now);
+        self.advance_push_end(adds);
         adds
     }
 
     /// What the store has to hold as the record of this host, if that has changed.
     ///
     /// Facts that came in answers are left to the hosts that gave them: each is recorded once for each failure domain that saw it.
-    pub fn take_record(&mut self, now: Instant, time_of_day: SystemTime) -> Option<Evidence> {
+    pub fn take_due_record(&mut self, now: Instant, time_of_day: SystemTime) -> Option<Evidence> {
         if !std::mem::take(&mut self.is_record_due) {
             return None;
         }
-        let facts = aged(self.cases.weightiest(MOST_RECORDED), now);
+        let facts = aged(self.cases.strongest_facts(MAX_FACTS_PER_RECORD), now);
         Some(Evidence { written: time_of_day, facts })
     }
 
     /// What to tell the host at `to` with a question.
     pub fn question(&self, to: SocketAddr, now: Instant) -> Question {
         let peer = self.peers.get(&to);
-        let told = peer.and_then(|peer| peer.told).map_or(Position::default(), |(_, end)| end);
+        let told = peer.and_then(|peer| peer.told).map_or(LogPosition::default(), |(_, end)| end);
         let host = peer.and_then(|peer| peer.host.as_ref());
-        let (facts, end) = self.cases.since(told, host, MOST_TOLD);
+        let (facts, end) = self.cases.since(told, host, MAX_FACTS_PER_MESSAGE);
         let knows = peer.and_then(|peer| peer.heard);
         Question { from: self.me.clone(), knows, facts: aged(facts, now), end }
     }
@@ -147,10 +147,10 @@
     pub fn answer(&mut self, question: &Question, now: Instant) -> Answer {
         let adds = self.take_told(question.facts.clone(), &question.from, now);
         self.is_record_due |= adds;
-        self.note_to_tell(adds);
+        self.advance_push_end(adds);
         let known = question.knows.filter(|(life, _)| *life == self.life);
-        let known = known.map_or(Position::default(), |(_, end)| end);
-        let (facts, end) = self.cases.since(known, Some(&question.from), MOST_TOLD);
+        let known = known.map_or(LogPosition::default(), |(_, end)| end);
+        let (facts, end) = self.cases.since(known, Some(&question.from), MAX_FACTS_PER_MESSAGE);
         let facts = aged(facts, now);
         Answer { from: self.me.clone(), life: self.life, facts, end, taken: question.end }
     }
@@ -169,21 +169,21 @@
         peer.host = Some(answer.from);
     }
 
-    fn take_told(&mut self, facts: Vec<Aged>, from: &HostId, now: Instant) -> bool {
+    fn take_told(&mut self, facts: Vec<AgedFact>, from: &HostId, now: Instant) -> bool {
         // Older than this clock reaches is older than anything that is kept.
         let facts = facts.into_iter().filter_map(|fact| fact.at(now));
-        self.cases.take_all(facts, &Source::Told(from.clone()), now)
+        self.cases.merge_all(facts, &Source::Peer(from.clone()), now)
     }
 
-    fn note_to_tell(&mut self, adds: bool) {
+    fn advance_push_end(&mut self, adds: bool) {
         if adds {
-            self.to_tell = self.cases.end();
+            self.push_end = self.cases.end();
         }
     }
 
     /// Forgets what has stood for long enough. Returns whether there was any.
-    pub fn forget(&mut self, now: Instant) -> bool {
-        self.cases.forget(now)
+    pub fn expire(&mut self, now: Instant) -> bool {
+        self.cases.expire(now)
     }
 
     /// The requests that are in doubt or refused.
@@ -192,6 +192,6 @@
     }
 }
 
-fn aged(facts: Vec<Fact>, now: Instant) -> Vec<Aged> {
+fn aged(facts: Vec<Fact>, now: Instant) -> Vec<AgedFact> {
     facts.into_iter().map(|fact| fact.aged(now)).collect()
 }
--- a/crates/jacinthbeam-crash/src/recent.rs
+++ b/crates/jacinthbeam-crash/src/recent.rs
@@ -13,19 +13,19 @@
 
 use crate::{
     cases::{Fact, Outcome},
-    fingerprint::{Fingerprint, Head},
+    fingerprint::{Fingerprint, HeadDigest},
     suspects::Suspects,
 };
 
 /// How long an answer is kept: hosts in touch observe a crash within this time.
-pub const KEPT_FOR: Duration = Duration::from_secs(3);
+pub const RETENTION: Duration = Duration::from_secs(3);
 
 /// Answers that are kept.
 const MOST_ANSWERS: usize = 4096;
 
 #[derive(Debug)]
 struct Answer {
-    head: Head,
+    head: HeadDigest,
     body: Bytes,
     caller: IpAddr,
     at: Instant,
@@ -33,14 +33,14 @@
 
 /// Requests that this host answered lately.
 #[derive(Debug, Default)]
-pub struct RecentAnswers {
+pub struct RecentSuccesses {
     of: VecDeque<Answer>,
 }
 
-impl RecentAnswers {
+impl RecentSuccesses {
     /// A request of `caller` ran to a good end.
-    pub fn add(&mut self, head: Head, body: Bytes, caller: IpAddr, at: Instant) {
-        let is_old = |answer: &Answer| at.saturating_duration_since(answer.at) >= KEPT_FOR;
+    pub fn add(&mut self, head: HeadDigest, body: Bytes, caller: IpAddr, at: Instant) {
+        let is_old = |answer: &Answer| at.saturating_duration_since(answer.at) >= RETENTION;
         while self.of.len() >= MOST_ANSWERS || self.of.front().is_some_and(is_old) {
             self.of.pop_front();
         }
@@ -48,12 +48,13 @@
     }
 
     /// What these answers say of requests that servers are known to have crashed under.
-    pub fn clear(&self, suspects: &Suspects) -> Vec<Fact> {
-        let of_suspect = |answer: &&Answer| suspects.contains_prefix(answer.head);
+    pub fn facts_for(&self, suspects: &Suspects) -> Vec<Fact> {
+        let of_suspect = |answer: &&Answer| suspects.contains_head(answer.head);
         let facts = self.of.iter().filter(of_suspect).filter_map(|answer| {
             let request = Fingerprint::of(answer.head, &answer.body);
             let suspect = suspects.get(&request)?;
-            let counts = answer.at >= suspect.first && suspect.callers.contains(&answer.caller);
+            let counts =
+                answer.at >= suspect.first_crash && suspect.callers.contains(&answer.caller);
             let outcome = Outcome::Succeeded { caller: answer.caller };
             counts.then_some(Fact { request, outcome, at: answer.at })
         });
--- a/crates/jacinthbeam-crash/tests/world/mod.rs
+++ b/crates/jacinthbeam-crash/tests/world/mod.rs
@@ -14,8 +14,8 @@
 
 use bytes::Bytes;
 use jacinthbeam_crash::{
-    Evidence, Exchange, Fact, Fingerprint, Outcome, Prober, RecentAnswers, Suspects,
-    fingerprint::Head, probe::Rank,
+    Evidence, Exchange, Fact, Fingerprint, Outcome, Prober, RecentSuccesses, Suspects,
+    fingerprint::HeadDigest, probe::Rank,
 };
 use jacinthbeam_types::prelude::*;
 use news::Ask;
@@ -49,7 +49,7 @@
     told_at: u64,
     told_end: u64,
     asks: BTreeMap<usize, Ask>,
-    recent: RecentAnswers,
+    recent: RecentSuccesses,
     prober: Prober,
     /// Whether it has read the store since its start.
     has_read: bool,
@@ -75,8 +75,8 @@
     pub written: u32,
 }
 
-fn head(n: u64) -> Head {
-    Head::of(&[b"GET", &n.to_be_bytes()])
+fn head(n: u64) -> HeadDigest {
+    HeadDigest::of(&[b"GET", &n.to_be_bytes()])
 }
 
 fn request(n: u64) -> Fingerprint {
@@ -126,7 +126,7 @@
             told_at: 0,
             told_end: 0,
             asks: BTreeMap::new(),
-            recent: RecentAnswers::default(),
+            recent: RecentSuccesses::default(),
             prober: Prober::default(),
             has_read: false,
             wrote_at: None,
@@ -173,7 +173,7 @@
     }
 
     pub fn refuses(&self, n: usize, of: u64, by: u64) -> bool {
-        self.hosts[n].suspects.refuse(&request(of), caller(by))
+        self.hosts[n].suspects.is_quarantined(&request(of), caller(by))
     }
 
     /// Whether a host sends an attempt of a request, as requests are admitted.
@@ -182,7 +182,7 @@
             return false;
         }
         let (at, time_of_day) = (self.at(), self.time_of_day());
-        let rank = Rank { of: n as u32, among: self.hosts.len() as u32 };
+        let rank = Rank { index: n as u32, hosts: self.hosts.len() as u32 };
         let host = &mut self.hosts[n];
         let (request, caller) = (request(of), caller(by));
         let Some(last) = host.suspects.on_probation(&request, caller) else { return true };
@@ -221,7 +221,7 @@
     pub fn see(&mut self, n: usize, of: u64, outcome: Outcome) {
         let at = self.at();
         if self.runs(n) {
-            self.hosts[n].exchange.see(Fact { request: request(of), outcome, at }, at);
+            self.hosts[n].exchange.observe(Fact { request: request(of), outcome, at }, at);
         }
     }
 
@@ -272,8 +272,8 @@
         if end != host.told_end && now >= host.told_at + TELL_EVERY {
             (host.told_at, host.told_end) = (now, end);
             host.suspects = host.exchange.suspects();
-            for fact in host.recent.clear(&host.suspects) {
-                host.exchange.see(fact, at);
+            for fact in host.recent.facts_for(&host.suspects) {
+                host.exchange.observe(fact, at);
             }
         }
     }
