--- a/crates/jacinthbeam-host/src/process/control/calls.rs
+++ b/crates/jacinthbeam-host/src/process/control/calls.rs
@@ -12,7 +12,7 @@
 use jacinthbeam_connection::{Line, line};
 use jacinthbeam_range::{
     Event, KeyRange, Owner,
-    grantor::{Call, NoAnswer, Outcome, timing::HOLD},
+    grantor::{NoAnswer, Outcome, RangeGrant, timing::HOLD},
 };
 use jacinthbeam_types::prelude::*;
 use tokio::task::spawn_local;
@@ -77,7 +77,7 @@
         &mut self,
         service: ServiceName,
         to: Owner,
-        calls: Vec<Call>,
+        calls: Vec<RangeGrant>,
         over: Option<Instant>,
         until: Instant,
         leadership: Leadership,
@@ -228,7 +228,7 @@
         clock: &dyn Clock,
         line: &GrantLine,
         to: &Owner,
-        call: &Call,
+        call: &RangeGrant,
     ) {
         let answer = line.line.exchange_kept((wire.grant)(to, call, HOLD), GRANT_WITHIN).await;
         let granted = match answer {
--- a/crates/jacinthbeam-host/src/process/control/granting.rs
+++ b/crates/jacinthbeam-host/src/process/control/granting.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use jacinthbeam_range::{
-    Event, Grantor, Map, Order,
+    Action, Event, Grantor, Map,
     grantor::{View as GrantView, timing::REST},
 };
 use jacinthbeam_store::{
@@ -219,7 +219,7 @@
         let Some(granting) = self.granting.get_mut(service) else { return };
         let led = granting.grantor.leads();
         let view = GrantView { now, servers: self.known.servers(), settled };
-        let orders = granting.grantor.step(view, event);
+        let actions = granting.grantor.step(view, event);
         let leads = granting.grantor.leads();
         let epoch = granting.grantor.map().map(|map| map.epoch);
         granting.leads.set(epoch.filter(|_| leads));
@@ -229,8 +229,8 @@
         if led && !leads {
             self.caller.keep_only(&[]);
         }
-        for order in orders {
-            self.carry_out(service, order);
+        for action in actions {
+            self.carry_out(service, action);
         }
     }
 
@@ -241,20 +241,20 @@
         Some(Leadership { epoch, leads })
     }
 
-    pub(super) fn carry_out(&mut self, service: &ServiceName, order: Order) {
+    pub(super) fn carry_out(&mut self, service: &ServiceName, action: Action) {
         let number = self.partition_of(service);
-        match order {
-            Order::Record(map) => self.put(service, number, map),
-            Order::Check => self.look(number),
-            Order::Grant { to, calls, over, until } => {
+        match action {
+            Action::Record(map) => self.put(service, number, map),
+            Action::Check => self.look(number),
+            Action::Grant { to, grants, connection, until } => {
                 let Some(leadership) = self.leadership(service) else { return };
-                self.caller.grant(service.clone(), to, calls, over, until, leadership);
+                self.caller.grant(service.clone(), to, grants, connection, until, leadership);
             }
-            Order::Release { from, range, token } => {
+            Action::Release { from, range, token } => {
                 let Some(leadership) = self.leadership(service) else { return };
                 self.caller.release(service.clone(), from, (range, token), leadership);
             }
-            Order::TellStopped { to, epoch, others_left } => {
+            Action::NotifySuccessor { to, epoch, others_left } => {
                 let leader = self.me.clone();
                 let service = service.clone();
                 let message = Message::Stopped { service, leader, epoch, others_left };
@@ -263,8 +263,10 @@
                     tracing::debug!(part = "grant", event = "not-told", host = %to.host, error = ?err);
                 }
             }
-            Order::Announce { epoch, others_left } => self.announce(service, epoch, others_left),
-            Order::Resign => {
+            Action::BroadcastStopped { epoch, others_left } => {
+                self.announce(service, epoch, others_left)
+            }
+            Action::Resign => {
                 tracing::warn!(part = "duty", event = "resigned", service = %service, why = "most-owners-unreachable");
                 self.wish.rest_until.set(Some(self.clock.now() + REST));
             }
--- a/crates/jacinthbeam-host/src/wire.rs
+++ b/crates/jacinthbeam-host/src/wire.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use http::{HeaderMap, HeaderValue, Request, Response, StatusCode, request::Parts};
-use jacinthbeam_range::{Key, KeyRange, Owner, grantor::Call};
+use jacinthbeam_range::{Key, KeyRange, Owner, grantor::RangeGrant};
 use jacinthbeam_route::{Config, Server};
 use jacinthbeam_store::Partition;
 use jacinthbeam_types::prelude::*;
@@ -28,7 +28,7 @@
     /// Sets what an answer's head says besides what its backend server said.
     pub delivered: fn(&mut HeaderMap),
     /// The call that grants keys for this long.
-    pub grant: fn(&Owner, &Call, Duration) -> Request<Bytes>,
+    pub grant: fn(&Owner, &RangeGrant, Duration) -> Request<Bytes>,
     /// What the answer to a grant says.
     pub granted: fn(&Owner, &Response<Bytes>) -> Granted,
     /// The call that takes keys back.
--- a/crates/jacinthbeam-native/src/grant.rs
+++ b/crates/jacinthbeam-native/src/grant.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use http::{Request, Response, StatusCode, header};
 use jacinthbeam_host::wire::{Granted, Released};
-use jacinthbeam_range::{KeyRange, Owner, grantor::Call};
+use jacinthbeam_range::{KeyRange, Owner, grantor::RangeGrant};
 use jacinthbeam_types::prelude::*;
 use serde::{Deserialize, Serialize};
 
@@ -59,8 +59,8 @@
 }
 
 /// Grants keys for `hold` from the arrival of the call.
-pub fn grant(to: &Owner, grant: &Call, hold: Duration) -> Request<Bytes> {
-    let Call { range, token, handover } = grant.clone();
+pub fn grant(to: &Owner, grant: &RangeGrant, hold: Duration) -> Request<Bytes> {
+    let RangeGrant { range, token, handover } = grant.clone();
     let hold_ms = hold.as_millis() as u64;
     call(GRANT, to, &Grant { range, token, hold_ms, handover })
 }
--- a/crates/jacinthbeam-native/tests/records.rs
+++ b/crates/jacinthbeam-native/tests/records.rs
@@ -84,7 +84,7 @@
 fn a_grant_says_keys_token_and_time() {
     let owner = Owner { server: "s-1".parse().unwrap(), addr: "127.0.0.1:9".parse().unwrap() };
     let range = KeyRange::new(10, 20).unwrap();
-    let call = grantor::Call { range, token: Token(7), handover: Some("warm".into()) };
+    let call = grantor::RangeGrant { range, token: Token(7), handover: Some("warm".into()) };
     let req = grant::grant(&owner, &call, Duration::from_secs(4));
     let body: grant::Grant = serde_json::from_slice(req.body()).unwrap();
     let handover = Some("warm".to_owned());
--- a/crates/jacinthbeam-range/src/grantor/order.rs
+++ b/crates/jacinthbeam-range/src/grantor/action.rs
@@ -11,7 +11,7 @@
 
 /// What is to be done.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Order {
+pub enum Action {
     /// Keep this map in the store if the newest record is still the one that was read last.
     Record(Map),
     /// Ask the store whether the newest record is still the same.
@@ -21,10 +21,10 @@
         /// Who gets them.
         to: Owner,
         /// The ranges.
-        calls: Vec<Call>,
+        grants: Vec<RangeGrant>,
         /// The connection that they may go over, named by when it was open; nothing is sent over another, which is opened and told of
         /// instead ([`Outcome::Opened`](super::Outcome::Opened)).
-        over: Option<Instant>,
+        connection: Option<Instant>,
         /// No call may be sent later than this, on a clock that counts suspension.
         until: Instant,
     },
@@ -38,7 +38,7 @@
         token: Token,
     },
     /// Tell the host that leads now that this one has stopped, so that it need not wait for the end of this one's right.
-    TellStopped {
+    NotifySuccessor {
         /// Who leads.
         to: Leader,
         /// The epoch in which this one led.
@@ -47,7 +47,7 @@
         others_left: Duration,
     },
     /// Tell all hosts that this one has stopped: the store took no record that says so.
-    Announce {
+    BroadcastStopped {
         /// The epoch in which it led.
         epoch: Epoch,
         /// For how long hosts that led before this one may still renew.
@@ -59,7 +59,7 @@
 
 /// One grant.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Call {
+pub struct RangeGrant {
     /// The keys.
     pub range: KeyRange,
     /// Its token.
--- a/crates/jacinthbeam-range/src/grantor/event.rs
+++ b/crates/jacinthbeam-range/src/grantor/event.rs
@@ -23,7 +23,7 @@
         /// The record; `None` if there is none.
         map: Option<Map>,
     },
-    /// The record of the last [`Order::Record`](super::Order::Record) is kept. The append was sent at `asked`.
+    /// The record of the last [`Action::Record`](super::Action::Record) is kept. The append was sent at `asked`.
     Recorded {
         /// Nobody had replaced this host at some moment after that.
         asked: Instant,
--- a/crates/jacinthbeam-range/src/grantor/leading/mod.rs
+++ b/crates/jacinthbeam-range/src/grantor/leading/mod.rs
@@ -16,7 +16,7 @@
 use majority::{Doubtful, Fence};
 
 use super::{
-    NoAnswer, Order, View,
+    Action, NoAnswer, View,
     contact::{Contact, Outcome},
     moving::{Moving, Stage},
     timing::{CHECK_EVERY, CHECK_SOON, SETTLE, renew_every},
@@ -161,7 +161,7 @@
     }
 
     /// Goes on renewing, and asks the store whether it is back.
-    pub(in crate::grantor) fn renew_on(&mut self, view: View<'_>) -> Vec<Order> {
+    pub(in crate::grantor) fn renew_on(&mut self, view: View<'_>) -> Vec<Action> {
         self.meet_owners();
         self.give_up_lost(view.now);
         let check = self.ask_again(view.now);
@@ -192,7 +192,7 @@
     }
 
     /// Asks for the confirmation that new connections wait for, once none is being opened any more.
-    pub(in crate::grantor) fn check_opened(&mut self, now: Instant) -> Option<Order> {
+    pub(in crate::grantor) fn check_opened(&mut self, now: Instant) -> Option<Action> {
         let opening = self.contacts.values().any(Contact::is_opening);
         if opening { None } else { self.check(now) }
     }
@@ -235,22 +235,22 @@
         view: View<'_>,
         service: &ServiceName,
         may_record: bool,
-    ) -> Vec<Order> {
+    ) -> Vec<Action> {
         self.pass_time(view);
         self.meet_owners();
         self.meet_majority(view.now);
         self.give_up_lost(view.now);
         self.take_back(view.servers);
-        let mut orders = Vec::new();
-        orders.extend(self.check(view.now));
+        let mut actions = Vec::new();
+        actions.extend(self.check(view.now));
         self.plan(view, service);
-        orders.extend(self.releases(view.now));
+        actions.extend(self.releases(view.now));
         self.free_lapsed(view.now);
         if may_record {
-            orders.extend(self.record(view, service));
+            actions.extend(self.record(view, service));
         }
-        orders.extend(self.grants(view.now));
-        orders
+        actions.extend(self.grants(view.now));
+        actions
     }
 
     fn pass_time(&mut self, view: View<'_>) {
@@ -326,7 +326,7 @@
         self.contacts.len() >= FEWEST_TO_JUDGE && lost * 2 > self.contacts.len()
     }
 
-    fn check(&mut self, now: Instant) -> Option<Order> {
+    fn check(&mut self, now: Instant) -> Option<Action> {
         let awaited = self.contacts.values().any(|contact| !contact.is_proved(self.proof));
         let old = now.saturating_duration_since(self.proof) >= CHECK_EVERY;
         // A store that answered the last question answers the next one too.
@@ -337,16 +337,16 @@
             return None;
         }
         self.checked = Some(now);
-        Some(Order::Check)
+        Some(Action::Check)
     }
 
     /// Asks the store for a confirmation, unless it was asked a moment ago.
-    fn ask_again(&mut self, now: Instant) -> Option<Order> {
+    fn ask_again(&mut self, now: Instant) -> Option<Action> {
         if self.checked.is_some_and(|at| now < at + CHECK_AGAIN && at > self.proof) {
             return None;
         }
         self.checked = Some(now);
-        Some(Order::Check)
+        Some(Action::Check)
     }
 
     fn next_token(&mut self) -> Token {
--- a/crates/jacinthbeam-range/src/grantor/leading/plan.rs
+++ b/crates/jacinthbeam-range/src/grantor/leading/plan.rs
@@ -9,7 +9,7 @@
 use crate::{
     balance::{self, Move},
     grantor::{
-        Order, View, candidates,
+        Action, View, candidates,
         contact::longest_hold,
         moving::{Moving, Stage},
         timing::{BALANCE_EVERY, moves_at_once, releases_at_once},
@@ -104,8 +104,8 @@
 
     /// Releases of ranges whose owner has no renewal under way. A range that moves is renewed no more, so that its last grant arrived before
     /// this.
-    pub(super) fn releases(&mut self, now: Instant) -> Vec<Order> {
-        let mut orders = Vec::new();
+    pub(super) fn releases(&mut self, now: Instant) -> Vec<Action> {
+        let mut actions = Vec::new();
         for moving in &mut self.moves {
             let contact = self.contacts.get(&moving.from.server);
             if moving.stage != Stage::Waiting || contact.is_some_and(|contact| contact.busy) {
@@ -113,9 +113,9 @@
             }
             moving.stage = Stage::Releasing(now);
             let (from, range, token) = (moving.from.clone(), moving.range, moving.token);
-            orders.push(Order::Release { from, range, token });
+            actions.push(Action::Release { from, range, token });
         }
-        orders
+        actions
     }
 
     pub(super) fn free_lapsed(&mut self, now: Instant) {
--- a/crates/jacinthbeam-range/src/grantor/leading/record.rs
+++ b/crates/jacinthbeam-range/src/grantor/leading/record.rs
@@ -9,7 +9,7 @@
 use crate::{
     balance::{self, Candidate, Move},
     grantor::{
-        Order, View, candidates,
+        Action, View, candidates,
         contact::Contact,
         moving::{Moving, Stage},
         timing::RANGES_PER_OWNER,
@@ -20,7 +20,7 @@
 
 impl Leading {
     /// The next record, if there is something to record.
-    pub(super) fn record(&mut self, view: View<'_>, service: &ServiceName) -> Option<Order> {
+    pub(super) fn record(&mut self, view: View<'_>, service: &ServiceName) -> Option<Action> {
         if !self.has_right(view.now) || !self.may_have_news(view) {
             return None;
         }
@@ -38,7 +38,7 @@
         self.join(&mut map);
         map.version += 1;
         self.writing = Some(map.clone());
-        Some(Order::Record(map))
+        Some(Action::Record(map))
     }
 
     /// Whether the next record may say anything else than the last one. Most looks find nothing; a copy of 1,100 ranges for each
--- a/crates/jacinthbeam-range/src/grantor/leading/renew.rs
+++ b/crates/jacinthbeam-range/src/grantor/leading/renew.rs
@@ -7,7 +7,7 @@
 use super::Leading;
 use crate::{
     balance,
-    grantor::{Call, Order, contact::Contact},
+    grantor::{Action, RangeGrant, contact::Contact},
     key::KeyRange,
     map::Held,
 };
@@ -21,7 +21,7 @@
     ///
     /// The right is worked out once a pass, since that looks at every owner itself. Worked out once for each owner, it took the
     /// busiest of 100 hosts 35 to 55 % of its processor in place of 18 %, and the busiest of 31 hosts 22 % in place of 7 %.
-    pub(super) fn grants(&mut self, now: Instant) -> Vec<Order> {
+    pub(super) fn grants(&mut self, now: Instant) -> Vec<Action> {
         let until = self.right_until();
         if now >= until {
             return Vec::new();
@@ -35,22 +35,22 @@
         let due = of_owner.iter().filter_map(|(server, held)| self.round(server, held, now));
         let due: Vec<_> = due.collect();
         due.into_iter()
-            .filter_map(|(server, calls)| self.begin(&server, calls, now, until))
+            .filter_map(|(server, grants)| self.begin(&server, grants, now, until))
             .collect()
     }
 
     /// What one server should be granted now.
-    pub(in crate::grantor) fn grant(&mut self, server: &ServerId, now: Instant) -> Option<Order> {
+    pub(in crate::grantor) fn grant(&mut self, server: &ServerId, now: Instant) -> Option<Action> {
         if !self.contacts.get(server).is_some_and(|contact| self.may_begin(contact)) {
             return None;
         }
         let held: Vec<&Held> = self.map.of_server(server).collect();
-        let (_, calls) = self.round(server, &held, now)?;
+        let (_, grants) = self.round(server, &held, now)?;
         let until = self.right_until();
         if now >= until {
             return None;
         }
-        self.begin(server, calls, now, until)
+        self.begin(server, grants, now, until)
     }
 
     /// The calls of a round to one server, if any is due.
@@ -59,42 +59,47 @@
         server: &ServerId,
         held: &[&Held],
         now: Instant,
-    ) -> Option<(ServerId, Vec<Call>)> {
-        let calls = self.calls(self.contacts.get(server)?, held, now);
-        (!calls.is_empty()).then(|| (server.clone(), calls))
+    ) -> Option<(ServerId, Vec<RangeGrant>)> {
+        let grants = self.grants_due(self.contacts.get(server)?, held, now);
+        (!grants.is_empty()).then(|| (server.clone(), grants))
     }
 
     /// Begins a round. The right to grant lasts until `until`.
     fn begin(
         &mut self,
         server: &ServerId,
-        calls: Vec<Call>,
+        grants: Vec<RangeGrant>,
         now: Instant,
         until: Instant,
-    ) -> Option<Order> {
+    ) -> Option<Action> {
         let contact = self.contacts.get_mut(server)?;
         contact.begin_round(now);
-        Some(Order::Grant { to: contact.owner.clone(), calls, over: contact.line(), until })
+        Some(Action::Grant { to: contact.owner.clone(), grants, connection: contact.line(), until })
     }
 
     /// What to grant to one server now: all its ranges if a renewal is due, else those it has not confirmed.
-    pub(super) fn calls(&self, contact: &Contact, held: &[&Held], now: Instant) -> Vec<Call> {
+    pub(super) fn grants_due(
+        &self,
+        contact: &Contact,
+        held: &[&Held],
+        now: Instant,
+    ) -> Vec<RangeGrant> {
         if !self.may_begin(contact) {
             return Vec::new();
         }
         let due = contact.is_due(now);
-        let mut calls = Vec::new();
+        let mut grants = Vec::new();
         for held in held {
             for range in self.still_held(held.range) {
                 let new = !contact.has_confirmed(range, held.token);
                 if due || (new && contact.takes_new()) {
                     let first = new && contact.is_after_opening(held.token);
                     let handover = held.handover.clone().filter(|_| first);
-                    calls.push(Call { range, token: contact.token(held.token), handover });
+                    grants.push(RangeGrant { range, token: contact.token(held.token), handover });
                 }
             }
         }
-        calls
+        grants
     }
 
     /// Whether a round of grants to a server may begin, if there is something to grant.
--- a/crates/jacinthbeam-range/src/grantor/mod.rs
+++ b/crates/jacinthbeam-range/src/grantor/mod.rs
@@ -5,11 +5,11 @@
 //! else was, before a new owner hears of it. A leader that is replaced, cut off or suspended therefore can't name an owner,
 //! and its renewals are refused by servers that its successor has reached, or end with its last confirmation.
 
+mod action;
 mod contact;
 mod event;
 mod leading;
 mod moving;
-mod order;
 mod stopping;
 pub mod timing;
 
@@ -21,10 +21,10 @@
 use jacinthbeam_route::{Server, Servers};
 use jacinthbeam_types::prelude::*;
 
+pub use action::{Action, RangeGrant};
 pub use contact::{Outcome, longest_hold};
 pub use event::{Event, NoAnswer};
 use leading::Leading;
-pub use order::{Call, Order};
 use stopping::{Replaced, Stopped};
 
 use crate::{
@@ -135,17 +135,17 @@
     }
 
     /// Takes an event and says what to do.
-    pub fn step(&mut self, view: View<'_>, event: Event) -> Vec<Order> {
+    pub fn step(&mut self, view: View<'_>, event: Event) -> Vec<Action> {
         if matches!(event, Event::Recorded { .. } | Event::NotRecorded) {
             self.pending = self.pending.saturating_sub(1);
         }
-        let orders = self.react(view, event);
-        let records = orders.iter().filter(|order| matches!(order, Order::Record(_)));
+        let actions = self.react(view, event);
+        let records = actions.iter().filter(|action| matches!(action, Action::Record(_)));
         self.pending += records.count() as u32;
-        orders
+        actions
     }
 
-    fn react(&mut self, view: View<'_>, event: Event) -> Vec<Order> {
+    fn react(&mut self, view: View<'_>, event: Event) -> Vec<Action> {
         match event {
             Event::Duty(duty) => self.duty = duty,
             Event::Read { asked, map } => self.on_read(view, asked, map),
@@ -185,7 +185,7 @@
         }
     }
 
-    fn act(&mut self, view: View<'_>) -> Vec<Order> {
+    fn act(&mut self, view: View<'_>) -> Vec<Action> {
         if let Some(since) = self.stopping {
             return self.wind_up(view, since);
         }
@@ -264,7 +264,7 @@
         self.leading = Some(leading);
     }
 
-    fn try_claim(&mut self, view: View<'_>) -> Option<Order> {
+    fn try_claim(&mut self, view: View<'_>) -> Option<Action> {
         let early = self.next_claim.is_some_and(|at| view.now < at);
         if !self.duty || !self.known || early || self.pending > 0 {
             return None;
@@ -279,7 +279,7 @@
         map.begin_epoch(self.me.clone());
         self.claim = Some(Claim { map: map.clone(), replaces });
         self.next_claim = Some(view.now + timing::CLAIM_AGAIN);
-        Some(Order::Record(map))
+        Some(Action::Record(map))
     }
 
     /// Divides the keys for the first time. Returns whether there was anyone to give them to.
--- a/crates/jacinthbeam-range/src/grantor/stopping.rs
+++ b/crates/jacinthbeam-range/src/grantor/stopping.rs
@@ -4,7 +4,7 @@
 
 use jacinthbeam_types::prelude::*;
 
-use super::{Grantor, Order, View, timing};
+use super::{Action, Grantor, View, timing};
 use crate::map::{Leader, Map};
 
 /// Hosts whose word that they have stopped is remembered: a successor asks for that of one or two, and a fleet's hosts stop one by one.
@@ -42,21 +42,21 @@
         self.replaced = map.leader.as_ref().map(replaced);
     }
 
-    pub(super) fn tell_stopped(&self, now: Instant) -> Option<Order> {
+    pub(super) fn tell_stopped(&self, now: Instant) -> Option<Action> {
         let replaced = self.replaced.as_ref().filter(|replaced| now < replaced.tell_until)?;
         let others_left = replaced.others_until.saturating_duration_since(now);
         let (to, epoch) = (replaced.by.clone(), replaced.epoch);
-        Some(Order::TellStopped { to, epoch, others_left })
+        Some(Action::NotifySuccessor { to, epoch, others_left })
     }
 
     /// Most owners are silent although they are listed: it is rather this host that is cut off. It must not take their keys
     /// away; another host may reach them.
-    pub(super) fn resign(&mut self, view: View<'_>) -> Vec<Order> {
+    pub(super) fn resign(&mut self, view: View<'_>) -> Vec<Action> {
         self.duty = false;
         self.next_claim = Some(view.now + timing::REST);
-        let mut orders = self.retire(view.now);
-        orders.push(Order::Resign);
-        orders
+        let mut actions = self.retire(view.now);
+        actions.push(Action::Resign);
+        actions
     }
 
     pub(super) fn on_stopped(&mut self, leader: Leader, epoch: Epoch, until: Instant) {
@@ -72,7 +72,7 @@
     ///
     /// While the store is away nobody can take over. Keys that were no longer renewed would have no server from the end of their holds
     /// until it is back, some seconds in which the process is still there for its last requests.
-    pub(super) fn wind_up(&mut self, view: View<'_>, since: Instant) -> Vec<Order> {
+    pub(super) fn wind_up(&mut self, view: View<'_>, since: Instant) -> Vec<Action> {
         self.claim = None;
         match &mut self.leading {
             Some(leading) if leading.proof() < since => leading.renew_on(view),
@@ -81,27 +81,27 @@
     }
 
     /// The process stops now. If it still grants, the others are told that it does no more.
-    pub(super) fn end(&mut self, now: Instant) -> Vec<Order> {
+    pub(super) fn end(&mut self, now: Instant) -> Vec<Action> {
         let Some(leading) = self.leading.take() else { return Vec::new() };
         let others_left = leading.others_until().saturating_duration_since(now);
-        vec![Order::Announce { epoch: leading.map.epoch, others_left }]
+        vec![Action::BroadcastStopped { epoch: leading.map.epoch, others_left }]
     }
 
     /// Says in the store that this process sends no grant any more, so that a successor has nobody to wait for.
     ///
     /// Not while hosts before this one may still renew: the successor, which sees only this record, would not wait for them, and
     /// give the keys of a server away that one of them still renews. It then waits as for a host that was lost.
-    pub(super) fn retire(&mut self, now: Instant) -> Vec<Order> {
+    pub(super) fn retire(&mut self, now: Instant) -> Vec<Action> {
         self.claim = None;
         let Some(leading) = self.leading.take() else { return Vec::new() };
         if now < leading.others_until() {
             let others_left = leading.others_until().saturating_duration_since(now);
-            return vec![Order::Announce { epoch: leading.map.epoch, others_left }];
+            return vec![Action::BroadcastStopped { epoch: leading.map.epoch, others_left }];
         }
         let mut map = leading.map;
         map.rivals.clear();
         map.leader = None;
         map.version += 1;
-        vec![Order::Record(map)]
+        vec![Action::Record(map)]
     }
 }
--- a/crates/jacinthbeam-range/src/lib.rs
+++ b/crates/jacinthbeam-range/src/lib.rs
@@ -14,6 +14,6 @@
 pub mod key;
 pub mod map;
 
-pub use grantor::{Event, Grantor, Order};
+pub use grantor::{Action, Event, Grantor};
 pub use key::{Key, KeyRange};
 pub use map::{Held, Leader, Map, Owner};
--- a/crates/jacinthbeam-range/tests/grantor/play.rs
+++ b/crates/jacinthbeam-range/tests/grantor/play.rs
@@ -6,8 +6,8 @@
 };
 
 use jacinthbeam_range::{
-    Event, Grantor, KeyRange, Leader, Map, Order,
-    grantor::{Call, Outcome, View},
+    Action, Event, Grantor, KeyRange, Leader, Map,
+    grantor::{Outcome, RangeGrant, View},
 };
 use jacinthbeam_route::{Server, Servers};
 use jacinthbeam_types::prelude::*;
@@ -58,7 +58,7 @@
     /// Releases that were ordered and are not answered yet.
     pub releases: Vec<(KeyRange, Token)>,
     /// Grants that were sent, with their time.
-    pub sent: Vec<(Instant, ServerId, Call)>,
+    pub sent: Vec<(Instant, ServerId, RangeGrant)>,
     pub records: Vec<Map>,
     pub resigned: bool,
     /// What was told to a successor.
@@ -120,26 +120,26 @@
 
     pub fn feed(&mut self, event: Event) {
         let view = View { now: self.now, servers: &self.servers, settled: true };
-        for order in self.grantor.step(view, event) {
-            self.carry_out(order);
+        for action in self.grantor.step(view, event) {
+            self.carry_out(action);
         }
     }
 
-    pub fn carry_out(&mut self, order: Order) {
-        match order {
-            Order::Record(map) => {
+    pub fn carry_out(&mut self, action: Action) {
+        match action {
+            Action::Record(map) => {
                 self.records.push(map.clone());
                 self.map = Some(map);
                 self.feed(Event::Recorded { asked: self.now });
             }
-            Order::Check if self.store_is_away => {}
-            Order::Check => self.feed(Event::Read { asked: self.now, map: self.map.clone() }),
-            Order::Grant { to, calls, over, until } => {
+            Action::Check if self.store_is_away => {}
+            Action::Check => self.feed(Event::Read { asked: self.now, map: self.map.clone() }),
+            Action::Grant { to, grants, connection, until } => {
                 assert!(self.now < until);
                 // Open for long, unless the test says otherwise.
                 let long_ago = self.now - Duration::from_secs(1);
                 let line = *self.lines.entry(to.server.clone()).or_insert(long_ago);
-                if over != Some(line) {
+                if connection != Some(line) {
                     return self.feed(Event::Granted {
                         server: to.server,
                         outcome: Outcome::Opened(line),
@@ -157,19 +157,20 @@
                 };
                 let confirmed = match silent || ended {
                     true => Vec::new(),
-                    false => calls.iter().map(|call| (call.range, call.token)).collect(),
+                    false => grants.iter().map(|grant| (grant.range, grant.token)).collect(),
                 };
-                let sent = calls.into_iter().map(|call| (self.now, to.server.clone(), call));
+                let sent = grants.into_iter().map(|grant| (self.now, to.server.clone(), grant));
                 self.sent.extend(sent);
                 let (server, last_call) = (to.server, Some(self.now));
                 let refused = Vec::new();
                 self.feed(Event::Granted { server, outcome, last_call, confirmed, refused });
             }
-            Order::Release { range, token, .. } => self.releases.push((range, token)),
-            Order::TellStopped { others_left, .. } | Order::Announce { others_left, .. } => {
+            Action::Release { range, token, .. } => self.releases.push((range, token)),
+            Action::NotifySuccessor { others_left, .. }
+            | Action::BroadcastStopped { others_left, .. } => {
                 self.told.push(others_left);
             }
-            Order::Resign => self.resigned = true,
+            Action::Resign => self.resigned = true,
         }
     }
 
@@ -186,11 +187,11 @@
         let view = View { now: self.now, servers: &self.servers, settled: true };
         let mut recorded = false;
         self.store_is_away = true;
-        for order in self.grantor.step(view, event) {
-            match order {
-                Order::Record(_) => recorded = true,
-                Order::Check => {}
-                order => self.carry_out(order),
+        for action in self.grantor.step(view, event) {
+            match action {
+                Action::Record(_) => recorded = true,
+                Action::Check => {}
+                action => self.carry_out(action),
             }
         }
         self.store_is_away = false;
--- a/crates/jacinthbeam-range/tests/grantor/server.rs
+++ b/crates/jacinthbeam-range/tests/grantor/server.rs
@@ -3,9 +3,9 @@
 use std::time::{Duration, Instant};
 
 use jacinthbeam_range::{
-    Event, Key, Map, Order,
+    Action, Event, Key, Map,
     demand::Report,
-    grantor::{Call, NoAnswer, Outcome, View, longest_hold},
+    grantor::{NoAnswer, Outcome, RangeGrant, View, longest_hold},
 };
 use jacinthbeam_route::Server;
 use jacinthbeam_types::prelude::*;
@@ -136,12 +136,12 @@
     for _ in 0..50 {
         play.now += TICK;
         let view = View { now: play.now, servers: &play.servers, settled: true };
-        for order in play.grantor.step(view, Event::Tick) {
-            let Order::Grant { to, calls, .. } = order else {
-                play.carry_out(order);
+        for action in play.grantor.step(view, Event::Tick) {
+            let Action::Grant { to, grants, .. } = action else {
+                play.carry_out(action);
                 continue;
             };
-            let confirmed = vec![(calls[0].range, calls[0].token)];
+            let confirmed = vec![(grants[0].range, grants[0].token)];
             let (outcome, last_call) = (Outcome::Silent, Some(play.now));
             let (server, refused) = (to.server, Vec::new());
             play.feed(Event::Granted { server, outcome, last_call, confirmed, refused });
@@ -164,7 +164,7 @@
     play.lines.insert(id.clone(), opened);
     let sent = play.sent.len();
     play.run_without_store(Duration::from_secs(2));
-    let to = |(_, to, _): &&(Instant, ServerId, Call)| *to == id;
+    let to = |(_, to, _): &&(Instant, ServerId, RangeGrant)| *to == id;
     assert_eq!(play.sent[sent..].iter().filter(to).count(), 0, "granted without a confirmation");
     play.run(Duration::from_millis(700));
     let (at, _, call) = play.sent[sent..].iter().find(to).expect("it is granted its keys again");
--- a/crates/jacinthbeam-range/tests/world/calls.rs
+++ b/crates/jacinthbeam-range/tests/world/calls.rs
@@ -7,7 +7,7 @@
 
 use jacinthbeam_range::{
     Event, KeyRange, Owner,
-    grantor::{Call, Outcome},
+    grantor::{Outcome, RangeGrant},
 };
 use jacinthbeam_types::prelude::*;
 
@@ -26,7 +26,7 @@
 /// Grants to one server, one after the other.
 pub struct Round {
     pub(super) to: Owner,
-    pub(super) calls: Vec<Call>,
+    pub(super) calls: Vec<RangeGrant>,
     pub(super) next: usize,
     pub(super) over: Option<Instant>,
     pub(super) until: Instant,
@@ -101,7 +101,7 @@
         match !refused && server.grant(now, call.range, call.token) {
             true => {
                 round.confirmed.push((call.range, call.token));
-                let Call { range, token, .. } = &call;
+                let RangeGrant { range, token, .. } = &call;
                 if !self.taken.contains(&(*range, *token, life)) {
                     let to = &round.to.server;
                     self.tell(format!("{range} is granted to {to} under token {token}"));
--- a/crates/jacinthbeam-range/tests/world/host.rs
+++ b/crates/jacinthbeam-range/tests/world/host.rs
@@ -3,8 +3,8 @@
 use std::time::{Duration, Instant};
 
 use jacinthbeam_range::{
-    Event, Grantor, Leader, Map, Order,
-    grantor::{Call, NoAnswer, View},
+    Action, Event, Grantor, Leader, Map,
+    grantor::{NoAnswer, RangeGrant, View},
 };
 use jacinthbeam_types::prelude::*;
 
@@ -113,7 +113,7 @@
             if let Message::Grant { host, round, life, arrived: true } = message
                 && *host == n
             {
-                let Call { range, token, .. } = round.calls[round.next].clone();
+                let RangeGrant { range, token, .. } = round.calls[round.next].clone();
                 *message = Message::Orphan { to: round.to.addr, life: *life, range, token };
             }
         }
@@ -152,30 +152,30 @@
         let listed = self.listed();
         let view = View { now: self.now, servers: &listed, settled: true };
         let led = self.hosts[n].grantor.leads();
-        let orders = self.hosts[n].grantor.step(view, event);
+        let actions = self.hosts[n].grantor.step(view, event);
         let leads = self.hosts[n].grantor.leads();
         if led != leads {
             self.tell(format!("h{n} leads: {leads}"));
         }
-        for order in orders {
-            self.carry_out(n, order);
+        for action in actions {
+            self.carry_out(n, action);
         }
     }
 
-    fn carry_out(&mut self, n: usize, order: Order) {
+    fn carry_out(&mut self, n: usize, action: Action) {
         let asked = self.now;
-        match order {
-            Order::Record(map) => {
+        match action {
+            Action::Record(map) => {
                 let at = self.hosts[n].end;
                 let after = self.store_way();
                 self.tell(format!("h{n} records {}.{} at {at}", map.epoch, map.version));
                 self.send(after, Message::Append { host: n, at, map, asked });
             }
-            Order::Check if self.has_store(n) => {
+            Action::Check if self.has_store(n) => {
                 let (end, after) = (self.log.len(), self.store_way());
                 self.send(after, Message::Checked { host: n, asked, end });
             }
-            Order::Grant { to, calls, over, until } => {
+            Action::Grant { to, grants: calls, connection: over, until } => {
                 let epoch = self.hosts[n].epoch().expect("only a host that leads grants");
                 let round = Round {
                     to,
@@ -190,7 +190,7 @@
                 };
                 self.send(Duration::ZERO, Message::Round { host: n, round });
             }
-            Order::Release { from, range, token } => {
+            Action::Release { from, range, token } => {
                 let after = self.short();
                 let odds = self.odds.lost_release;
                 let (lost, answered) = (self.chance(odds), !self.chance(odds));
@@ -209,7 +209,7 @@
                     self.send(after, release);
                 }
             }
-            Order::TellStopped { to, epoch, others_left } => {
+            Action::NotifySuccessor { to, epoch, others_left } => {
                 let leader = self.hosts[n].me.clone();
                 let to = (0..self.hosts.len()).find(|n| self.hosts[*n].me == to);
                 let after = self.store_way();
@@ -217,7 +217,7 @@
                     self.send(after, Message::Stopped { to, leader, epoch, others_left });
                 }
             }
-            Order::Announce { epoch, others_left } => {
+            Action::BroadcastStopped { epoch, others_left } => {
                 let leader = self.hosts[n].me.clone();
                 for to in (0..self.hosts.len()).filter(|to| *to != n) {
                     let after = self.store_way();
@@ -227,7 +227,7 @@
                     }
                 }
             }
-            Order::Check | Order::Resign => {}
+            Action::Check | Action::Resign => {}
         }
     }
 
