--- a/crates/jacinthbeam-host/src/process/control/gates.rs
+++ b/crates/jacinthbeam-host/src/process/control/gates.rs
@@ -37,7 +37,7 @@
                     epoch = %epoch,
                     others_left_ms = others_left.as_millis() as u64,
                 );
-                self.step(&service, Event::Stopped { leader, epoch, others_left });
+                self.step(&service, Event::PeerStopped { leader, epoch, others_left });
             }
             Message::Gates { gates, .. } => {
                 self.standby.on_word(self.clock.now());
@@ -105,7 +105,7 @@
     ) -> BTreeMap<ServerId, Gate> {
         let Some(objective) = self.objective(service) else { return BTreeMap::new() };
         let Some(granting) = self.granting.get(service) else { return BTreeMap::new() };
-        let view = GrantView { now, servers: self.known.servers(), settled: true };
+        let view = GrantView { now, servers: self.known.servers(), servers_stable: true };
         let gates = granting.grantor.gates(view, objective);
         if !gates.is_empty() {
             tracing::debug!(part = "admission", event = "gates", service = %service, gates = ?gates);
--- a/crates/jacinthbeam-host/src/process/control/granting.rs
+++ b/crates/jacinthbeam-host/src/process/control/granting.rs
@@ -125,7 +125,7 @@
         let partition = self.partitions.get(&number).filter(|partition| partition.read);
         let Some(partition) = partition else { return };
         let map = partition.newest(service).cloned();
-        self.step(service, Event::Read { asked, map });
+        self.step(service, Event::Read { sent_at: asked, map });
     }
 
     pub(super) fn on_put(
@@ -143,7 +143,7 @@
                 if let Some(partition) = self.partitions.get_mut(&number) {
                     partition.take_own(service.clone(), at, end, map.clone());
                 }
-                self.step(service, Event::Recorded { asked });
+                self.step(service, Event::Recorded { sent_at: asked });
                 let moved = self.known.map(service).map_or(0, |known| map.moved_since(known));
                 self.counters.on_moved(service, moved);
                 let maps = self.known.take_map(service.clone(), map);
@@ -215,10 +215,10 @@
     pub(super) fn step(&mut self, service: &ServiceName, event: Event) {
         let now = self.clock.now();
         let unchanged = self.known.servers_changed().map(|at| now.saturating_duration_since(at));
-        let settled = unchanged.is_some_and(|since| since >= SETTLED_AFTER);
+        let servers_stable = unchanged.is_some_and(|since| since >= SETTLED_AFTER);
         let Some(granting) = self.granting.get_mut(service) else { return };
         let led = granting.grantor.leads();
-        let view = GrantView { now, servers: self.known.servers(), settled };
+        let view = GrantView { now, servers: self.known.servers(), servers_stable };
         let actions = granting.grantor.step(view, event);
         let leads = granting.grantor.leads();
         let epoch = granting.grantor.map().map(|map| map.epoch);
--- a/crates/jacinthbeam-host/src/process/control/learn.rs
+++ b/crates/jacinthbeam-host/src/process/control/learn.rs
@@ -229,7 +229,7 @@
         let leads = self.granting.get(service).is_some_and(|granting| granting.grantor.leads());
         let map = self.known.map(service).filter(|_| leads).cloned();
         if let Some(map) = map {
-            self.step(service, Event::Heard(map));
+            self.step(service, Event::PeerMap(map));
         }
     }
 
--- a/crates/jacinthbeam-host/src/process/control/mod.rs
+++ b/crates/jacinthbeam-host/src/process/control/mod.rs
@@ -137,7 +137,7 @@
             break;
         }
     }
-    control.step_all(&Event::End);
+    control.step_all(&Event::Exit);
     tokio::join!(tokio::time::sleep(LAST_CALLS), last.record());
     tracing::info!(part = "process", event = "stop");
 }
--- a/crates/jacinthbeam-host/src/process/control/state.rs
+++ b/crates/jacinthbeam-host/src/process/control/state.rs
@@ -281,7 +281,7 @@
             }
             Input::Stop => {
                 self.stopping = Some(self.clock.now());
-                self.step_all(&Event::Stop);
+                self.step_all(&Event::ShutdownStarted);
                 self.wish.leave.set(true);
             }
         }
--- a/crates/jacinthbeam-range/src/grantor/event.rs
+++ b/crates/jacinthbeam-range/src/grantor/event.rs
@@ -19,14 +19,14 @@
     /// The newest record as read from the store.
     Read {
         /// When the read was sent. Nothing newer was there at some moment after that.
-        asked: Instant,
+        sent_at: Instant,
         /// The record; `None` if there is none.
         map: Option<Map>,
     },
     /// The record of the last [`Action::Record`](super::Action::Record) is kept. The append was sent at `asked`.
     Recorded {
         /// Nobody had replaced this host at some moment after that.
-        asked: Instant,
+        sent_at: Instant,
     },
     /// That record was surely not kept, or it isn't known. The newest one is read next.
     NotRecorded,
@@ -60,9 +60,9 @@
         report: Report,
     },
     /// Another host knows this record. It may be older than what is known here.
-    Heard(Map),
+    PeerMap(Map),
     /// A host that led sends no grant of that epoch any more.
-    Stopped {
+    PeerStopped {
         /// It.
         leader: Leader,
         /// The epoch in which it led. It may have led again since.
@@ -73,9 +73,9 @@
     /// Time has passed.
     Tick,
     /// This process is about to stop.
-    Stop,
+    ShutdownStarted,
     /// It stops now.
-    End,
+    Exit,
 }
 
 /// A call got no answer that could be trusted.
--- a/crates/jacinthbeam-range/src/grantor/leading/mod.rs
+++ b/crates/jacinthbeam-range/src/grantor/leading/mod.rs
@@ -94,8 +94,8 @@
     }
 
     /// A read found a record of this process: the present one, or one whose acknowledgement was lost.
-    pub(in crate::grantor) fn on_own_record(&mut self, asked: Instant, map: Map) {
-        self.proof = self.proof.max(asked);
+    pub(in crate::grantor) fn on_own_record(&mut self, sent_at: Instant, map: Map) {
+        self.proof = self.proof.max(sent_at);
         if map.is_older_than(&self.map) {
             // A read that was sent before the last record was kept.
             return;
@@ -109,8 +109,8 @@
         self.adopt(map);
     }
 
-    pub(in crate::grantor) fn on_recorded(&mut self, now: Instant, asked: Instant) {
-        self.proof = self.proof.max(asked);
+    pub(in crate::grantor) fn on_recorded(&mut self, now: Instant, sent_at: Instant) {
+        self.proof = self.proof.max(sent_at);
         if let Some(map) = self.writing.take() {
             self.doubtful.clear();
             for moving in &self.moves {
@@ -332,8 +332,8 @@
         // A store that answered the last question answers the next one too.
         let answered = self.checked.is_none_or(|at| self.proof >= at);
         let pause = if awaited && answered { CHECK_SOON } else { CHECK_AGAIN };
-        let asked = self.checked.is_some_and(|at| now < at + pause);
-        if !(old || awaited) || asked {
+        let is_recent = self.checked.is_some_and(|at| now < at + pause);
+        if !(old || awaited) || is_recent {
             return None;
         }
         self.checked = Some(now);
--- a/crates/jacinthbeam-range/src/grantor/mod.rs
+++ b/crates/jacinthbeam-range/src/grantor/mod.rs
@@ -42,7 +42,7 @@
     /// The backend servers.
     pub servers: &'a Servers,
     /// Whether the list has been known and unchanged for a while, so that a first division is worth making.
-    pub settled: bool,
+    pub servers_stable: bool,
 }
 
 /// The part of one host in granting the keys of one service.
@@ -148,11 +148,11 @@
     fn react(&mut self, view: View<'_>, event: Event) -> Vec<Action> {
         match event {
             Event::Duty(duty) => self.duty = duty,
-            Event::Read { asked, map } => self.on_read(view, asked, map),
-            Event::Recorded { asked } => self.on_recorded(view, asked),
+            Event::Read { sent_at, map } => self.on_read(view, sent_at, map),
+            Event::Recorded { sent_at } => self.on_recorded(view, sent_at),
             Event::NotRecorded => self.on_not_recorded(view),
-            Event::Stop => self.stopping = Some(view.now),
-            Event::End => return self.end(view.now),
+            Event::ShutdownStarted => self.stopping = Some(view.now),
+            Event::Exit => return self.end(view.now),
             // These come hundreds of times a second from a large fleet, and a look at everything takes a time that grows with it: a
             // host that granted 1,100 ranges heard of a configuration 3.9 s late, behind what it had to do for each answer. The next tick
             // is soon enough for what they change, but for new ranges of the same server.
@@ -170,8 +170,8 @@
                 self.while_leading(|leading| leading.on_released(range, token, handover));
                 return Vec::new();
             }
-            Event::Heard(map) => self.on_heard(view, &map),
-            Event::Stopped { leader, epoch, others_left } => {
+            Event::PeerMap(map) => self.on_heard(view, &map),
+            Event::PeerStopped { leader, epoch, others_left } => {
                 self.on_stopped(leader, epoch, view.now + others_left.max(timing::CALL_TAKES));
             }
             Event::Tick => {}
@@ -211,7 +211,7 @@
         map.is_some_and(|map| map.leader.as_ref() == Some(&self.me))
     }
 
-    fn on_read(&mut self, view: View<'_>, asked: Instant, map: Option<Map>) {
+    fn on_read(&mut self, view: View<'_>, sent_at: Instant, map: Option<Map>) {
         self.known = true;
         let mine = self.is_me(map.as_ref());
         self.newest = map;
@@ -226,20 +226,20 @@
         // in the old epoch and give out its tokens anew, below those that servers still have.
         let kept = self.claim.take_if(|claim| claim.map.epoch == newest.epoch);
         match (&mut self.leading, kept) {
-            (Some(leading), _) => leading.on_own_record(asked, newest),
-            (None, Some(claim)) => self.begin(view, asked, newest, &claim),
+            (Some(leading), _) => leading.on_own_record(sent_at, newest),
+            (None, Some(claim)) => self.begin(view, sent_at, newest, &claim),
             // Without a claim there is nothing to lead: this process has stopped.
             (None, None) => {}
         }
     }
 
-    fn on_recorded(&mut self, view: View<'_>, asked: Instant) {
+    fn on_recorded(&mut self, view: View<'_>, sent_at: Instant) {
         if let Some(leading) = &mut self.leading {
-            leading.on_recorded(view.now, asked);
+            leading.on_recorded(view.now, sent_at);
             self.newest = Some(leading.map.clone());
         } else if let Some(claim) = self.claim.take() {
             let newer = self.newest.clone().filter(|newest| claim.map.is_older_than(newest));
-            self.begin(view, asked, claim.map.clone(), &claim);
+            self.begin(view, sent_at, claim.map.clone(), &claim);
             // Its successor's record was read before the answer to the claim came. Leading on, it would put its next record over that one, and
             // two hosts would grant under tokens of two epochs. It grants nothing, and says so to the successor, which waits for it.
             match newer {
@@ -254,12 +254,12 @@
         self.while_leading(|leading| leading.on_not_recorded(view.now));
     }
 
-    fn begin(&mut self, view: View<'_>, asked: Instant, map: Map, claim: &Claim) {
+    fn begin(&mut self, view: View<'_>, sent_at: Instant, map: Map, claim: &Claim) {
         // A host that said that it has stopped may have had a call under way.
         let others = if claim.replaces.is_empty() { timing::CALL_TAKES } else { timing::PROOF };
         let replaces = claim.replaces.clone();
         self.replaced = None;
-        let mut leading = Leading::new(map, asked, view.now + others, replaces);
+        let mut leading = Leading::new(map, sent_at, view.now + others, replaces);
         self.stopped.iter().for_each(|s| leading.on_stopped(&s.leader, s.epoch, s.until));
         self.leading = Some(leading);
     }
@@ -284,7 +284,7 @@
 
     /// Divides the keys for the first time. Returns whether there was anyone to give them to.
     fn divide(&self, view: View<'_>, map: &mut Map) -> bool {
-        if !view.settled {
+        if !view.servers_stable {
             return false;
         }
         let servers: Vec<_> = view.servers.of(&self.service).collect();
--- a/crates/jacinthbeam-range/tests/grantor/play.rs
+++ b/crates/jacinthbeam-range/tests/grantor/play.rs
@@ -83,14 +83,14 @@
     pub fn among(count: u16, n: u64, map: Option<Map>, silent: &[u16]) -> Self {
         let mut play = Self::without_duty(count, n, map.clone(), silent);
         play.feed(Event::Duty(true));
-        play.feed(Event::Read { asked: play.now, map });
+        play.feed(Event::Read { sent_at: play.now, map });
         play
     }
 
     /// The same among two servers for a host that knows the record and has no duty yet.
     pub fn waiting(n: u64, map: Option<Map>, silent: &[u16]) -> Self {
         let mut play = Self::without_duty(2, n, map.clone(), silent);
-        play.feed(Event::Read { asked: play.now, map });
+        play.feed(Event::Read { sent_at: play.now, map });
         play
     }
 
@@ -119,7 +119,7 @@
     }
 
     pub fn feed(&mut self, event: Event) {
-        let view = View { now: self.now, servers: &self.servers, settled: true };
+        let view = View { now: self.now, servers: &self.servers, servers_stable: true };
         for action in self.grantor.step(view, event) {
             self.carry_out(action);
         }
@@ -130,10 +130,10 @@
             Action::Record(map) => {
                 self.records.push(map.clone());
                 self.map = Some(map);
-                self.feed(Event::Recorded { asked: self.now });
+                self.feed(Event::Recorded { sent_at: self.now });
             }
             Action::Check if self.store_is_away => {}
-            Action::Check => self.feed(Event::Read { asked: self.now, map: self.map.clone() }),
+            Action::Check => self.feed(Event::Read { sent_at: self.now, map: self.map.clone() }),
             Action::Grant { to, grants, connection, until } => {
                 assert!(self.now < until);
                 // Open for long, unless the test says otherwise.
@@ -184,7 +184,7 @@
 
     /// The same while calls to the store are not answered. Returns whether a record was sent.
     pub fn feed_without_store(&mut self, event: Event) -> bool {
-        let view = View { now: self.now, servers: &self.servers, settled: true };
+        let view = View { now: self.now, servers: &self.servers, servers_stable: true };
         let mut recorded = false;
         self.store_is_away = true;
         for action in self.grantor.step(view, event) {
--- a/crates/jacinthbeam-range/tests/grantor/server.rs
+++ b/crates/jacinthbeam-range/tests/grantor/server.rs
@@ -135,7 +135,7 @@
     let mut play = Play::leading();
     for _ in 0..50 {
         play.now += TICK;
-        let view = View { now: play.now, servers: &play.servers, settled: true };
+        let view = View { now: play.now, servers: &play.servers, servers_stable: true };
         for action in play.grantor.step(view, Event::Tick) {
             let Action::Grant { to, grants, .. } = action else {
                 play.carry_out(action);
--- a/crates/jacinthbeam-range/tests/grantor/store.rs
+++ b/crates/jacinthbeam-range/tests/grantor/store.rs
@@ -85,7 +85,7 @@
     for _ in 0..3 {
         play.feed_without_store(Event::NotRecorded);
         let map = play.map.clone();
-        play.feed_without_store(Event::Read { asked: cut, map });
+        play.feed_without_store(Event::Read { sent_at: cut, map });
     }
     play.run_without_store(Duration::from_secs(6));
     assert!(play.last_grant_to(2) <= cut + timing::MAJORITY_LASTS);
@@ -199,7 +199,7 @@
     let mut play = Play { grantor: Grantor::new("tiles".parse().unwrap(), leader(1)), ..play };
     play.map = Some(first.clone());
     play.feed(Event::Duty(true));
-    play.feed(Event::Read { asked: play.now, map: Some(first) });
+    play.feed(Event::Read { sent_at: play.now, map: Some(first) });
     play.run(Duration::from_secs(2));
     play.silent = (1..=4).map(|n| server(n, false).id).collect();
     play.until(|play| play.resigned);
--- a/crates/jacinthbeam-range/tests/grantor/takeover.rs
+++ b/crates/jacinthbeam-range/tests/grantor/takeover.rs
@@ -81,11 +81,11 @@
     let mut play = Play::among(2, 2, first.map.clone(), &[1]);
     let (begun, record) = (play.now, play.map.clone().unwrap());
     first.sent.clear();
-    first.feed(Event::Heard(record));
+    first.feed(Event::PeerMap(record));
     first.run(Duration::from_secs(2));
     assert!(!first.grantor.leads() && first.sent.is_empty());
     let others_left = first.told[0];
-    play.feed(Event::Stopped { leader: leader(1), epoch: Epoch(1), others_left });
+    play.feed(Event::PeerStopped { leader: leader(1), epoch: Epoch(1), others_left });
     play.until(|play| play.keys_of(1) == 0);
     let took = play.now - begun;
     assert!(took >= timing::CALL_TAKES + longest_hold());
@@ -99,7 +99,7 @@
     let mut play = Play::among(2, 2, first.map.clone(), &[1]);
     let begun = play.now;
     let others_left = Duration::from_secs(5);
-    play.feed(Event::Stopped { leader: leader(1), epoch: Epoch(1), others_left });
+    play.feed(Event::PeerStopped { leader: leader(1), epoch: Epoch(1), others_left });
     play.until(|play| play.keys_of(1) == 0);
     assert!(play.now >= begun + others_left + longest_hold());
 }
@@ -111,7 +111,7 @@
     let first = Play::leading();
     let mut second = Play::among(2, 2, first.map.clone(), &[1]);
     second.run(Duration::from_secs(1));
-    second.feed(Event::Stop);
+    second.feed(Event::ShutdownStarted);
     let mut play = Play::among(2, 3, second.map.clone(), &[1]);
     let begun = play.now;
     play.until(|play| play.keys_of(1) == 0);
@@ -124,7 +124,11 @@
     let first = Play::leading();
     let mut play = Play::among(2, 2, first.map.clone(), &[1]);
     let begun = play.now;
-    play.feed(Event::Stopped { leader: leader(3), epoch: Epoch(1), others_left: Duration::ZERO });
+    play.feed(Event::PeerStopped {
+        leader: leader(3),
+        epoch: Epoch(1),
+        others_left: Duration::ZERO,
+    });
     play.until(|play| play.keys_of(1) == 0);
     assert!(play.now >= begun + timing::PROOF + longest_hold());
 }
@@ -133,7 +137,7 @@
 #[test]
 fn a_successor_of_a_host_that_has_stopped_waits_for_the_hold_only() {
     let mut first = Play::leading();
-    first.feed(Event::Stop);
+    first.feed(Event::ShutdownStarted);
     assert_eq!(first.map.as_ref().unwrap().leader, None);
     let mut play = Play::new(2, first.map.clone());
     play.silent.push(server(1, false).id);
@@ -150,7 +154,7 @@
     play.sent.clear();
     play.map = Some(map.clone());
     play.feed(Event::Duty(false));
-    play.feed(Event::Read { asked: play.now, map: Some(map) });
+    play.feed(Event::Read { sent_at: play.now, map: Some(map) });
     play.run(Duration::from_secs(5));
     assert!(play.sent.is_empty() && !play.grantor.leads());
 }
@@ -163,7 +167,7 @@
 fn a_host_that_stops_without_the_store_renews_on() {
     let mut play = Play::leading();
     play.run_without_store(Duration::from_secs(2));
-    play.feed_without_store(Event::Stop);
+    play.feed_without_store(Event::ShutdownStarted);
     let stopped = play.now;
     play.run_without_store(Duration::from_secs(4));
     assert!(play.last_grant_to(1) >= stopped + Duration::from_secs(3), "it renews no more");
@@ -182,13 +186,13 @@
 fn a_host_that_ended_without_the_store_is_not_waited_for() {
     let mut first = Play::leading();
     first.run_without_store(Duration::from_secs(2));
-    first.feed_without_store(Event::Stop);
-    first.feed_without_store(Event::End);
+    first.feed_without_store(Event::ShutdownStarted);
+    first.feed_without_store(Event::Exit);
     assert!(!first.grantor.leads());
     let others_left = first.told[0];
 
     let mut play = Play::waiting(2, first.map.clone(), &[1]);
-    play.feed(Event::Stopped { leader: leader(1), epoch: Epoch(1), others_left });
+    play.feed(Event::PeerStopped { leader: leader(1), epoch: Epoch(1), others_left });
     play.run(Duration::from_secs(2));
     let begun = play.now;
     play.feed(Event::Duty(true));
@@ -209,7 +213,11 @@
     map.begin_epoch(leader(1));
     map.rivals.clear();
     let mut play = Play::waiting(2, Some(map), &[1]);
-    play.feed(Event::Stopped { leader: leader(1), epoch: Epoch(1), others_left: Duration::ZERO });
+    play.feed(Event::PeerStopped {
+        leader: leader(1),
+        epoch: Epoch(1),
+        others_left: Duration::ZERO,
+    });
     play.run(Duration::from_secs(2));
     let begun = play.now;
     play.feed(Event::Duty(true));
@@ -239,12 +247,12 @@
     play.feed_without_store(Event::Tick);
 
     play.sent.clear();
-    play.feed_without_store(Event::Read { asked: play.now, map: Some(before.clone()) });
+    play.feed_without_store(Event::Read { sent_at: play.now, map: Some(before.clone()) });
     play.run_without_store(Duration::from_secs(1));
     assert!(!play.grantor.leads(), "it leads by a record of before");
     assert_eq!(play.sent.len(), 0);
 
-    play.feed(Event::Recorded { asked: play.now });
+    play.feed(Event::Recorded { sent_at: play.now });
     play.run(Duration::from_secs(1));
     assert!(play.grantor.leads());
     let epoch = play.grantor.map().unwrap().epoch;
@@ -269,9 +277,9 @@
     newer.begin_epoch(leader(3));
 
     play.feed_without_store(Event::Duty(false));
-    play.feed_without_store(Event::Read { asked: play.now, map: Some(newer.clone()) });
+    play.feed_without_store(Event::Read { sent_at: play.now, map: Some(newer.clone()) });
     play.map = Some(newer);
-    play.feed(Event::Recorded { asked: play.now });
+    play.feed(Event::Recorded { sent_at: play.now });
     play.run(Duration::from_secs(1));
     assert!(!play.grantor.leads(), "it leads though it was replaced");
     assert_eq!((play.sent.len(), play.records.len()), (0, 0));
--- a/crates/jacinthbeam-range/tests/world/host.rs
+++ b/crates/jacinthbeam-range/tests/world/host.rs
@@ -93,12 +93,12 @@
         let Some(ends_at) = self.hosts[n].ends_at else { return };
         if !std::mem::replace(&mut self.hosts[n].told_stop, true) {
             self.tell(format!("h{n} is told to stop"));
-            self.feed(n, Event::Stop);
+            self.feed(n, Event::ShutdownStarted);
         }
         if self.now < ends_at {
             return;
         }
-        self.feed(n, Event::End);
+        self.feed(n, Event::Exit);
         self.tell(format!("h{n} ends"));
         self.lives += 1;
         let me = Leader {
@@ -150,7 +150,7 @@
 
     pub(super) fn feed(&mut self, n: usize, event: Event) {
         let listed = self.listed();
-        let view = View { now: self.now, servers: &listed, settled: true };
+        let view = View { now: self.now, servers: &listed, servers_stable: true };
         let led = self.hosts[n].grantor.leads();
         let actions = self.hosts[n].grantor.step(view, event);
         let leads = self.hosts[n].grantor.leads();
@@ -256,13 +256,13 @@
             Message::Checked { host, asked, end } => {
                 if end == self.hosts[host].end {
                     let map = self.hosts[host].newest.clone().map(|(_, map)| map);
-                    self.feed(host, Event::Read { asked, map });
+                    self.feed(host, Event::Read { sent_at: asked, map });
                 }
             }
             Message::Stopped { to, leader, epoch, others_left } => {
-                self.feed(to, Event::Stopped { leader, epoch, others_left });
+                self.feed(to, Event::PeerStopped { leader, epoch, others_left });
             }
-            Message::Heard { to, map } => self.feed(to, Event::Heard(map)),
+            Message::Heard { to, map } => self.feed(to, Event::PeerMap(map)),
             Message::Round { host, round } => self.on_round(host, round),
             Message::Grant { host, round, life, arrived } => {
                 self.on_grant(host, round, life, arrived);
@@ -315,7 +315,7 @@
         if host.newest.as_ref().is_none_or(|(offset, _)| *offset < at) {
             host.newest = Some((at, map));
         }
-        self.feed(n, Event::Recorded { asked });
+        self.feed(n, Event::Recorded { sent_at: asked });
     }
 
     fn on_read(&mut self, n: usize, asked: Instant, end: usize, map: Option<Map>) {
@@ -326,6 +326,6 @@
             host.newest = Some((end - 1, map));
         }
         let map = self.hosts[n].newest.clone().map(|(_, map)| map);
-        self.feed(n, Event::Read { asked, map });
+        self.feed(n, Event::Read { sent_at: asked, map });
     }
 }
