--- a/crates/jacinthbeam-host/src/process/control/enlist.rs
+++ b/crates/jacinthbeam-host/src/process/control/enlist.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use jacinthbeam_range::grantor::timing::REST;
+use jacinthbeam_range::grantor::timing::RESIGN_COOLDOWN;
 use jacinthbeam_store::{
     Backoff, Call, Lane, Partition,
     keyed::{Changes, Follower},
@@ -72,7 +72,7 @@
 
     /// Says in the store where this host is, until that is kept.
     async fn put(&self) {
-        let mut backoff = Backoff::new(PUT_AGAIN, REST);
+        let mut backoff = Backoff::new(PUT_AGAIN, RESIGN_COOLDOWN);
         let value = Bytes::from(self.entry.to_bytes());
         let (to, key) = (self.list.clone(), self.host.to_string());
         let call = Call::Put { to, key, value, only_at: None };
--- a/crates/jacinthbeam-host/src/process/control/granting.rs
+++ b/crates/jacinthbeam-host/src/process/control/granting.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use jacinthbeam_range::{
     Action, Event, Grantor, Map,
-    grantor::{View as GrantView, timing::REST},
+    grantor::{View as GrantView, timing::RESIGN_COOLDOWN},
 };
 use jacinthbeam_store::{
     Call, Error, Partition, Reply,
@@ -194,7 +194,7 @@
                 let since = since.unwrap_or_default();
                 self.counters.on_owners(service, map.unowned_keys(), since);
             }
-            if let Some(proof_age) = granting.grantor.proof_age(now) {
+            if let Some(proof_age) = granting.grantor.confirmation_age(now) {
                 self.counters.on_leading(service, proof_age, granting.grantor.imbalance());
             }
         }
@@ -268,7 +268,7 @@
             }
             Action::Resign => {
                 tracing::warn!(part = "duty", event = "resigned", service = %service, why = "most-owners-unreachable");
-                self.wish.rest_until.set(Some(self.clock.now() + REST));
+                self.wish.rest_until.set(Some(self.clock.now() + RESIGN_COOLDOWN));
             }
         }
     }
--- a/crates/jacinthbeam-range/src/grantor/contact.rs
+++ b/crates/jacinthbeam-range/src/grantor/contact.rs
@@ -7,7 +7,7 @@
 
 use jacinthbeam_types::prelude::*;
 
-use super::timing::{ASK_AGAIN, CLOCK_SLACK, GIVE_UP, HOLD, MARGIN};
+use super::timing::{CLOCK_DRIFT_FACTOR, GIVE_UP_AFTER, GRANT_RETRY_DELAY, HOLD, MARGIN};
 use crate::{key::KeyRange, map::Owner};
 
 /// How a round of grants to one server ended.
@@ -176,7 +176,7 @@
         match outcome {
             Outcome::Answered => {
                 self.silent_since = None;
-                self.next_round = Some(now + if refused { ASK_AGAIN } else { renew_every });
+                self.next_round = Some(now + if refused { GRANT_RETRY_DELAY } else { renew_every });
             }
             Outcome::Silent => {
                 // A server that answers some of the calls is there. Given up, all its keys would be away for a whole hold
@@ -185,10 +185,10 @@
                     self.silent_since = None;
                 }
                 self.silent_since.get_or_insert(now);
-                self.next_round = Some(now + ASK_AGAIN);
+                self.next_round = Some(now + GRANT_RETRY_DELAY);
             }
             Outcome::Ended => self.ended = true,
-            Outcome::NotSent => self.next_round = Some(now + ASK_AGAIN),
+            Outcome::NotSent => self.next_round = Some(now + GRANT_RETRY_DELAY),
             Outcome::Opened(_) => self.next_round = Some(now),
         }
     }
@@ -204,7 +204,7 @@
 
     /// Whether the silence has lasted long enough to give the server up.
     pub(super) fn is_lost(&self, now: Instant) -> bool {
-        let lost = |since: Instant| now.saturating_duration_since(since) >= GIVE_UP;
+        let lost = |since: Instant| now.saturating_duration_since(since) >= GIVE_UP_AFTER;
         self.silent_since.is_some_and(lost)
     }
 
@@ -238,5 +238,5 @@
 
 /// How long a grant can last from its arrival on the slowest clock, and the margin.
 pub fn longest_hold() -> Duration {
-    HOLD.mul_f64(CLOCK_SLACK) + MARGIN
+    HOLD.mul_f64(CLOCK_DRIFT_FACTOR) + MARGIN
 }
--- a/crates/jacinthbeam-range/src/grantor/leading/majority.rs
+++ b/crates/jacinthbeam-range/src/grantor/leading/majority.rs
@@ -1,11 +1,11 @@
 //! What a majority of the owners proves about hosts that lead, or led.
 //!
 //! Backend servers refuse tokens below the highest one that they have seen. They therefore can serve as the acceptors of a
-//! lease: a leader goes on renewing only for [`MAJORITY_LASTS`] after more than half of the owners took its grants (or the store
+//! lease: a leader goes on renewing only for [`MAJORITY_VALID_FOR`] after more than half of the owners took its grants (or the store
 //! confirmed it), and a successor whose grants were taken by more than half of the same owners knows that the predecessor has no
 //! majority from then on. Any two majorities share a server, and that one refuses the predecessor.
 //!
-//! Without it a successor that hears nothing of its predecessor has to wait for [`PROOF`] before it may count on the end of
+//! Without it a successor that hears nothing of its predecessor has to wait for [`CONFIRMATION_VALID_FOR`] before it may count on the end of
 //! any hold, and the keys of a server that died at about the same time stay unserved for that long.
 
 use std::{collections::BTreeSet, time::Instant};
@@ -14,7 +14,7 @@
 
 use super::Leading;
 use crate::{
-    grantor::timing::{CALL_TAKES, MAJORITY_LASTS, MARGIN, PROOF},
+    grantor::timing::{CONFIRMATION_VALID_FOR, MAJORITY_VALID_FOR, MARGIN, MAX_CALL_TIME},
     map::{Held, Map},
 };
 
@@ -45,7 +45,7 @@
     /// Until when grants may be sent.
     pub(super) fn right_until(&self) -> Instant {
         let seen = self.majority_took().map_or(self.proof, |at| at.max(self.proof));
-        (seen + MAJORITY_LASTS).min(self.proof + PROOF)
+        (seen + MAJORITY_VALID_FOR).min(self.proof + CONFIRMATION_VALID_FOR)
     }
 
     /// The latest time after which more than half of the owners took a grant that was sent then or later.
@@ -82,7 +82,7 @@
             return;
         }
         // The last majority of each rival is older than this moment, and its last call was sent within that majority's time.
-        let ends = now + MAJORITY_LASTS + CALL_TAKES + MARGIN;
+        let ends = now + MAJORITY_VALID_FOR + MAX_CALL_TIME + MARGIN;
         self.others_until = self.others_until.min(ends);
     }
 
--- a/crates/jacinthbeam-range/src/grantor/leading/mod.rs
+++ b/crates/jacinthbeam-range/src/grantor/leading/mod.rs
@@ -19,7 +19,7 @@
     Action, NoAnswer, View,
     contact::{Contact, Outcome},
     moving::{Moving, Stage},
-    timing::{CHECK_EVERY, CHECK_SOON, SETTLE, renew_every},
+    timing::{CHECK_EVERY, CHECK_EVERY_WHILE_CONNECTING, MOVE_COOLDOWN, renew_every},
 };
 use crate::{
     demand::Demand,
@@ -28,10 +28,10 @@
 };
 
 /// Pause between two questions for a confirmation if the last one got no answer.
-const CHECK_AGAIN: Duration = Duration::from_millis(500);
+const CHECK_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// Owners below which their silence says nothing of this host's own links.
-const FEWEST_TO_JUDGE: usize = 3;
+const MIN_OWNERS_TO_JUDGE: usize = 3;
 
 /// Time that a request takes, assumed before any answer was measured. Only the proportions between servers matter.
 const ASSUMED_WORK: Duration = Duration::from_millis(200);
@@ -115,7 +115,7 @@
             self.doubtful.clear();
             for moving in &self.moves {
                 if matches!(moving.stage, Stage::Free(_)) {
-                    self.settling.push((now + SETTLE, moving.range));
+                    self.settling.push((now + MOVE_COOLDOWN, moving.range));
                 }
             }
             self.adopt(map);
@@ -323,7 +323,7 @@
     pub(in crate::grantor) fn reaches_too_few(&self, view: View<'_>) -> bool {
         let listed = |c: &&Contact| !c.ended && view.servers.takes_work(&c.owner.server);
         let lost = self.contacts.values().filter(listed).filter(|c| c.given_up).count();
-        self.contacts.len() >= FEWEST_TO_JUDGE && lost * 2 > self.contacts.len()
+        self.contacts.len() >= MIN_OWNERS_TO_JUDGE && lost * 2 > self.contacts.len()
     }
 
     fn check(&mut self, now: Instant) -> Option<Action> {
@@ -331,7 +331,8 @@
         let old = now.saturating_duration_since(self.proof) >= CHECK_EVERY;
         // A store that answered the last question answers the next one too.
         let answered = self.checked.is_none_or(|at| self.proof >= at);
-        let pause = if awaited && answered { CHECK_SOON } else { CHECK_AGAIN };
+        let pause =
+            if awaited && answered { CHECK_EVERY_WHILE_CONNECTING } else { CHECK_RETRY_DELAY };
         let is_recent = self.checked.is_some_and(|at| now < at + pause);
         if !(old || awaited) || is_recent {
             return None;
@@ -342,7 +343,7 @@
 
     /// Asks the store for a confirmation, unless it was asked a moment ago.
     fn ask_again(&mut self, now: Instant) -> Option<Action> {
-        if self.checked.is_some_and(|at| now < at + CHECK_AGAIN && at > self.proof) {
+        if self.checked.is_some_and(|at| now < at + CHECK_RETRY_DELAY && at > self.proof) {
             return None;
         }
         self.checked = Some(now);
--- a/crates/jacinthbeam-range/src/grantor/leading/record.rs
+++ b/crates/jacinthbeam-range/src/grantor/leading/record.rs
@@ -12,7 +12,7 @@
         Action, View, candidates,
         contact::Contact,
         moving::{Moving, Stage},
-        timing::RANGES_PER_OWNER,
+        timing::MERGE_ABOVE_RANGES_PER_OWNER,
     },
     key::KeyRange,
     map::{Held, Map, Owner},
@@ -148,7 +148,7 @@
     /// Joins neighbouring ranges of one owner under a new token, once there are many ranges.
     pub(super) fn join(&mut self, map: &mut Map) {
         map.join_neighbours();
-        if map.held().len() <= RANGES_PER_OWNER * self.contacts.len() {
+        if map.held().len() <= MERGE_ABOVE_RANGES_PER_OWNER * self.contacts.len() {
             return;
         }
         for range in map.mergeable() {
--- a/crates/jacinthbeam-range/src/grantor/mod.rs
+++ b/crates/jacinthbeam-range/src/grantor/mod.rs
@@ -1,6 +1,6 @@
 //! Decides, for one service, what the host that grants its keys does next.
 //!
-//! At most one life of a process leads at a time: the one that the newest record names. It goes on only within [`timing::PROOF`]
+//! At most one life of a process leads at a time: the one that the newest record names. It goes on only within [`timing::CONFIRMATION_VALID_FOR`]
 //! of the last confirmation by the store, and everything it changes is recorded in the store, on the condition that nothing
 //! else was, before a new owner hears of it. A leader that is replaced, cut off or suspended therefore can't name an owner,
 //! and its renewals are refused by servers that its successor has reached, or end with its last confirmation.
@@ -118,7 +118,7 @@
     }
 
     /// While this process leads, the time since the store confirmed its right.
-    pub fn proof_age(&self, now: Instant) -> Option<Duration> {
+    pub fn confirmation_age(&self, now: Instant) -> Option<Duration> {
         let leading = self.leading.as_ref()?;
         Some(now.saturating_duration_since(leading.proof()))
     }
@@ -172,7 +172,7 @@
             }
             Event::PeerMap(map) => self.on_heard(view, &map),
             Event::PeerStopped { leader, epoch, others_left } => {
-                self.on_stopped(leader, epoch, view.now + others_left.max(timing::CALL_TAKES));
+                self.on_stopped(leader, epoch, view.now + others_left.max(timing::MAX_CALL_TIME));
             }
             Event::Tick => {}
         }
@@ -250,13 +250,17 @@
     }
 
     fn on_not_recorded(&mut self, view: View<'_>) {
-        self.next_claim = Some(view.now + timing::CLAIM_AGAIN);
+        self.next_claim = Some(view.now + timing::CLAIM_RETRY_DELAY);
         self.while_leading(|leading| leading.on_not_recorded(view.now));
     }
 
     fn begin(&mut self, view: View<'_>, sent_at: Instant, map: Map, claim: &Claim) {
         // A host that said that it has stopped may have had a call under way.
-        let others = if claim.replaces.is_empty() { timing::CALL_TAKES } else { timing::PROOF };
+        let others = if claim.replaces.is_empty() {
+            timing::MAX_CALL_TIME
+        } else {
+            timing::CONFIRMATION_VALID_FOR
+        };
         let replaces = claim.replaces.clone();
         self.replaced = None;
         let mut leading = Leading::new(map, sent_at, view.now + others, replaces);
@@ -278,7 +282,7 @@
         replaces.extend(map.leader.clone().filter(|leader| !replaces.contains(leader)));
         map.begin_epoch(self.me.clone());
         self.claim = Some(Claim { map: map.clone(), replaces });
-        self.next_claim = Some(view.now + timing::CLAIM_AGAIN);
+        self.next_claim = Some(view.now + timing::CLAIM_RETRY_DELAY);
         Some(Action::Record(map))
     }
 
--- a/crates/jacinthbeam-range/src/grantor/stopping.rs
+++ b/crates/jacinthbeam-range/src/grantor/stopping.rs
@@ -37,7 +37,7 @@
             by: by.clone(),
             epoch: leading.map.epoch,
             others_until: leading.others_until(),
-            tell_until: now + timing::TELL_FOR,
+            tell_until: now + timing::NOTIFY_SUCCESSOR_FOR,
         };
         self.replaced = map.leader.as_ref().map(replaced);
     }
@@ -53,7 +53,7 @@
     /// away; another host may reach them.
     pub(super) fn resign(&mut self, view: View<'_>) -> Vec<Action> {
         self.duty = false;
-        self.next_claim = Some(view.now + timing::REST);
+        self.next_claim = Some(view.now + timing::RESIGN_COOLDOWN);
         let mut actions = self.retire(view.now);
         actions.push(Action::Resign);
         actions
--- a/crates/jacinthbeam-range/tests/grantor/store.rs
+++ b/crates/jacinthbeam-range/tests/grantor/store.rs
@@ -46,7 +46,7 @@
     play.silent = vec![server(2, false).id];
     play.sent.clear();
     play.run_without_store(Duration::from_secs(6));
-    assert!(play.last_grant_to(1) <= cut + timing::MAJORITY_LASTS);
+    assert!(play.last_grant_to(1) <= cut + timing::MAJORITY_VALID_FOR);
 }
 
 /// The store is lost while a record that names new owners is on its way. It may have been kept: a successor then asks the new owners,
@@ -63,7 +63,7 @@
     }
     play.sent.clear();
     play.run_without_store(Duration::from_secs(6));
-    assert!(play.last_grant_to(2) <= cut + timing::MAJORITY_LASTS);
+    assert!(play.last_grant_to(2) <= cut + timing::MAJORITY_VALID_FOR);
 }
 
 /// The same with a record whose new owners have left the list since. The next record would name others, but the one in doubt may
@@ -73,7 +73,7 @@
     let (mut play, cut) = play_whose_five_have_left();
     play.feed_without_store(Event::NotRecorded);
     play.run_without_store(Duration::from_secs(4));
-    assert!(cut < play.last_grant_to(1) + timing::PROOF);
+    assert!(cut < play.last_grant_to(1) + timing::CONFIRMATION_VALID_FOR);
     assert!(play.last_grant_to(2) <= cut);
 }
 
@@ -88,7 +88,7 @@
         play.feed_without_store(Event::Read { sent_at: cut, map });
     }
     play.run_without_store(Duration::from_secs(6));
-    assert!(play.last_grant_to(2) <= cut + timing::MAJORITY_LASTS);
+    assert!(play.last_grant_to(2) <= cut + timing::MAJORITY_VALID_FOR);
 }
 
 /// The store is away, and most servers take the host's grants. No other host can have them, so it goes on for longer than
@@ -99,8 +99,8 @@
     play.run(Duration::from_secs(1));
     let cut = play.now;
     play.run_without_store(Duration::from_secs(12));
-    assert!(play.last_grant_to(1) > cut + timing::MAJORITY_LASTS * 2);
-    assert!(play.last_grant_to(1) <= cut + timing::PROOF);
+    assert!(play.last_grant_to(1) > cut + timing::MAJORITY_VALID_FOR * 2);
+    assert!(play.last_grant_to(1) <= cut + timing::CONFIRMATION_VALID_FOR);
 }
 
 /// The store is away. Grants go on for as long as no other host could have taken over unnoticed, and end then.
@@ -109,11 +109,15 @@
     let mut play = Play::leading();
     let confirmed = play.now;
     play.sent.clear();
-    let view_ends = confirmed + timing::PROOF + timing::CHECK_EVERY;
+    let view_ends = confirmed + timing::CONFIRMATION_VALID_FOR + timing::CHECK_EVERY;
     play.run_without_store(view_ends + Duration::from_secs(5) - play.now);
     let last = play.last_grant_to(1);
-    assert!(last > confirmed + timing::PROOF - timing::CHECK_EVERY - timing::RENEW_EVERY * 2);
-    assert!(last <= confirmed + timing::PROOF);
+    assert!(
+        last > confirmed + timing::CONFIRMATION_VALID_FOR
+            - timing::CHECK_EVERY
+            - timing::RENEW_EVERY * 2
+    );
+    assert!(last <= confirmed + timing::CONFIRMATION_VALID_FOR);
 }
 
 /// Two servers hold the same keys, and an order for one of them runs on each.
@@ -127,7 +131,7 @@
         let mut play = Play::leading();
         play.silent.push(server(1, false).id);
         // The store answers until shortly before the hold has run out.
-        play.run(timing::GIVE_UP);
+        play.run(timing::GIVE_UP_AFTER);
         play.run((play.last_grant_to(1) + longest_hold()).duration_since(play.now) - TICK * 2);
         let sent = (0..20).any(|_| {
             play.now += TICK;
--- a/crates/jacinthbeam-range/tests/grantor/takeover.rs
+++ b/crates/jacinthbeam-range/tests/grantor/takeover.rs
@@ -19,7 +19,7 @@
     let mut play = Play::among(2, 2, first.map.clone(), &[1]);
     let begun = play.now;
     play.until(|play| play.keys_of(1) == 0);
-    assert!(play.now >= begun + timing::PROOF + longest_hold());
+    assert!(play.now >= begun + timing::CONFIRMATION_VALID_FOR + longest_hold());
 }
 
 /// The host that led has died, and a server a moment later. Most servers take the successor's grants, so that the predecessor,
@@ -32,10 +32,10 @@
     let mut play = Play::among(3, 2, first.map.clone(), &[1]);
     let begun = play.now;
     play.until(|play| play.keys_of(1) == 0);
-    let bound = timing::MAJORITY_LASTS + timing::CALL_TAKES + timing::MARGIN;
+    let bound = timing::MAJORITY_VALID_FOR + timing::MAX_CALL_TIME + timing::MARGIN;
     assert!(play.now >= begun + bound + longest_hold());
     assert!(play.now < begun + bound + longest_hold() + Duration::from_secs(1));
-    assert!(bound < timing::PROOF);
+    assert!(bound < timing::CONFIRMATION_VALID_FOR);
 }
 
 /// The host that led has replaced another a second before it died. Most servers refuse both from the first grants of the third host
@@ -49,9 +49,9 @@
     let mut play = Play::among(3, 3, second.map.clone(), &[1]);
     let begun = play.now;
     play.until(|play| play.keys_of(1) == 0);
-    let bound = timing::MAJORITY_LASTS + timing::CALL_TAKES + timing::MARGIN;
+    let bound = timing::MAJORITY_VALID_FOR + timing::MAX_CALL_TIME + timing::MARGIN;
     assert!(play.now >= begun + bound + longest_hold());
-    assert!(play.now < begun + timing::PROOF);
+    assert!(play.now < begun + timing::CONFIRMATION_VALID_FOR);
 }
 
 /// A host has replaced another and gone on to give all keys to new servers. The one before it, cut off with the old ones, has most
@@ -70,7 +70,7 @@
     let mut play = Play::among(5, 3, Some(map), &[5]);
     let begun = play.now;
     play.until(|play| play.keys_of(5) == 0);
-    assert!(play.now >= begun + timing::PROOF + longest_hold());
+    assert!(play.now >= begun + timing::CONFIRMATION_VALID_FOR + longest_hold());
 }
 
 /// The store turns a host away that leads, and another takes over. The first hears of it from a third, stops, and says so. Its
@@ -88,8 +88,8 @@
     play.feed(Event::PeerStopped { leader: leader(1), epoch: Epoch(1), others_left });
     play.until(|play| play.keys_of(1) == 0);
     let took = play.now - begun;
-    assert!(took >= timing::CALL_TAKES + longest_hold());
-    assert!(took < timing::PROOF + longest_hold());
+    assert!(took >= timing::MAX_CALL_TIME + longest_hold());
+    assert!(took < timing::CONFIRMATION_VALID_FOR + longest_hold());
 }
 
 /// The one that has stopped had not led for long, and the one before it may still renew.
@@ -115,7 +115,7 @@
     let mut play = Play::among(2, 3, second.map.clone(), &[1]);
     let begun = play.now;
     play.until(|play| play.keys_of(1) == 0);
-    assert!(play.now >= begun + timing::PROOF + longest_hold());
+    assert!(play.now >= begun + timing::CONFIRMATION_VALID_FOR + longest_hold());
 }
 
 /// The word of a host that was not the one replaced says nothing of the one that was.
@@ -130,7 +130,7 @@
         others_left: Duration::ZERO,
     });
     play.until(|play| play.keys_of(1) == 0);
-    assert!(play.now >= begun + timing::PROOF + longest_hold());
+    assert!(play.now >= begun + timing::CONFIRMATION_VALID_FOR + longest_hold());
 }
 
 /// A host that stops says that it sends nothing any more, and its successor has only the hold to wait for.
@@ -198,7 +198,7 @@
     play.feed(Event::Duty(true));
     play.until(|play| play.keys_of(1) == 0);
     let took = play.now - begun;
-    assert!(took >= longest_hold() - timing::CALL_TAKES, "{took:?}");
+    assert!(took >= longest_hold() - timing::MAX_CALL_TIME, "{took:?}");
     assert!(took < longest_hold() + Duration::from_secs(2), "{took:?}");
 }
 
@@ -222,7 +222,7 @@
     let begun = play.now;
     play.feed(Event::Duty(true));
     play.until(|play| play.keys_of(1) == 0);
-    assert!(play.now >= begun + timing::PROOF + longest_hold());
+    assert!(play.now >= begun + timing::CONFIRMATION_VALID_FOR + longest_hold());
 }
 
 /// Two servers run orders for the same key. A server is granted keys under a token below that of another which still has them.
@@ -242,7 +242,7 @@
     assert!(play.resigned);
     play.feed_without_store(Event::NotRecorded);
     play.silent.clear();
-    play.now += timing::REST + Duration::from_secs(1);
+    play.now += timing::RESIGN_COOLDOWN + Duration::from_secs(1);
     play.feed_without_store(Event::Duty(true));
     play.feed_without_store(Event::Tick);
 
