--- a/crates/jacinthbeam-range/src/grantor/event.rs
+++ b/crates/jacinthbeam-range/src/grantor/event.rs
@@ -4,7 +4,7 @@
 
 use jacinthbeam_types::prelude::*;
 
-use super::contact::Outcome;
+use super::owner_state::Outcome;
 use crate::{
     demand::Report,
     key::KeyRange,
--- a/crates/jacinthbeam-range/src/grantor/leading/majority.rs
+++ b/crates/jacinthbeam-range/src/grantor/leading/majority.rs
@@ -43,38 +43,39 @@
 
 impl Leading {
     /// Until when grants may be sent.
-    pub(super) fn right_until(&self) -> Instant {
-        let seen = self.majority_took().map_or(self.proof, |at| at.max(self.proof));
-        (seen + MAJORITY_VALID_FOR).min(self.proof + CONFIRMATION_VALID_FOR)
+    pub(super) fn may_grant_until(&self) -> Instant {
+        let seen =
+            self.majority_accepted_at().map_or(self.confirmed_at, |at| at.max(self.confirmed_at));
+        (seen + MAJORITY_VALID_FOR).min(self.confirmed_at + CONFIRMATION_VALID_FOR)
     }
 
     /// The latest time after which more than half of the owners took a grant that was sent then or later.
     ///
     /// Of the records that may be the newest one the worst counts, since a successor takes its majority from the one that was
     /// kept.
-    fn majority_took(&self) -> Option<Instant> {
-        let maps = std::iter::once(&self.map).chain(&self.writing).chain(&self.doubtful);
-        let times = maps.map(|map| self.majority_of(map));
+    fn majority_accepted_at(&self) -> Option<Instant> {
+        let maps = std::iter::once(&self.map).chain(&self.pending_record).chain(&self.in_doubt);
+        let times = maps.map(|map| self.majority_accepted_in(map));
         times.min().flatten()
     }
 
-    fn majority_of(&self, map: &Map) -> Option<Instant> {
+    fn majority_accepted_in(&self, map: &Map) -> Option<Instant> {
         let servers = map.held().iter().filter_map(|held| held.owner.as_ref());
         let owners: BTreeSet<&ServerId> = servers.map(|owner| &owner.server).collect();
-        let taken = |id: &&ServerId| self.contacts.get(*id).and_then(|contact| contact.took_at());
+        let taken = |id: &&ServerId| self.owners.get(*id).and_then(|state| state.accepted_at());
         let mut times: Vec<Instant> = owners.iter().filter_map(taken).collect();
         times.sort_unstable_by(|a, b| b.cmp(a));
         times.get(owners.len() / 2).copied()
     }
 
     /// Shortens the wait for predecessors once most owners refuse them.
-    pub(super) fn meet_majority(&mut self, now: Instant) {
+    pub(super) fn update_fence(&mut self, now: Instant) {
         let Some(mut fence) = self.fence.take() else { return };
-        if now >= self.others_until {
+        if now >= self.predecessors_until {
             return;
         }
         let servers: BTreeSet<&ServerId> = fence.rivals.iter().flatten().collect();
-        let refuse = servers.into_iter().filter(|id| self.refuses_others(id));
+        let refuse = servers.into_iter().filter(|id| self.refuses_predecessors(id));
         let refuse: Vec<ServerId> = refuse.cloned().collect();
         fence.done.extend(refuse);
         if !fence.is_complete() {
@@ -83,7 +84,7 @@
         }
         // The last majority of each rival is older than this moment, and its last call was sent within that majority's time.
         let ends = now + MAJORITY_VALID_FOR + MAX_CALL_TIME + MARGIN;
-        self.others_until = self.others_until.min(ends);
+        self.predecessors_until = self.predecessors_until.min(ends);
     }
 
     /// Whether a server has confirmed all that it holds by the map, under this leader's tokens.
@@ -95,12 +96,12 @@
     /// rule of their own here.
     ///
     /// A server that has started again under its name counts by what its present life has confirmed: the predecessor reaches that life
-    /// only if it was there before this leader's first grants ([`Contact::is_proved`](crate::grantor::contact::Contact::is_proved)).
-    fn refuses_others(&self, id: &ServerId) -> bool {
-        self.lives(id).any(|contact| {
-            let mut held = self.map.of_server(&contact.owner.server).peekable();
-            let confirmed = |held: &Held| contact.has_confirmed(held.range, held.token);
-            contact.ended || held.peek().is_some() && held.all(confirmed)
+    /// only if it was there before this leader's first grants ([`OwnerState::is_connection_confirmed`](crate::grantor::owner_state::OwnerState::is_connection_confirmed)).
+    fn refuses_predecessors(&self, id: &ServerId) -> bool {
+        self.incarnations_of(id).any(|state| {
+            let mut held = self.map.of_server(&state.owner.server).peekable();
+            let confirmed = |held: &Held| state.has_confirmed(held.range, held.token);
+            state.ended || held.peek().is_some() && held.all(confirmed)
         })
     }
 }
@@ -110,9 +111,9 @@
 /// They follow the same record and so bear the same version. Kept by version, the last one of them would hide the others, and the
 /// owners that only the first one names would not be asked for their word.
 #[derive(Debug, Default)]
-pub(super) struct Doubtful(Vec<Map>);
+pub(super) struct InDoubtRecords(Vec<Map>);
 
-impl Doubtful {
+impl InDoubtRecords {
     pub(super) fn add(&mut self, map: Map) {
         // The same record is tried again several times a second for as long as the store takes none.
         if !self.0.contains(&map) {
@@ -129,7 +130,7 @@
     }
 }
 
-impl<'a> IntoIterator for &'a Doubtful {
+impl<'a> IntoIterator for &'a InDoubtRecords {
     type Item = &'a Map;
     type IntoIter = std::slice::Iter<'a, Map>;
 
--- a/crates/jacinthbeam-range/src/grantor/leading/mod.rs
+++ b/crates/jacinthbeam-range/src/grantor/leading/mod.rs
@@ -13,12 +13,12 @@
 use jacinthbeam_route::Servers;
 use jacinthbeam_types::prelude::*;
 
-use majority::{Doubtful, Fence};
+use majority::{Fence, InDoubtRecords};
 
 use super::{
     Action, NoAnswer, View,
-    contact::{Contact, Outcome},
-    moving::{Moving, Stage},
+    owner_state::{Outcome, OwnerState},
+    pending_move::{PendingMove, Stage},
     timing::{CHECK_EVERY, CHECK_EVERY_WHILE_CONNECTING, MOVE_COOLDOWN, renew_every},
 };
 use crate::{
@@ -42,80 +42,80 @@
     pub(in crate::grantor) map: Map,
     pub(in crate::grantor) demand: Demand,
     /// When the read was sent that last confirmed the record.
-    proof: Instant,
-    checked: Option<Instant>,
+    confirmed_at: Instant,
+    last_check: Option<Instant>,
     /// Until then predecessors may have renewed grants.
-    others_until: Instant,
+    predecessors_until: Instant,
     /// They.
-    replaces: Vec<Leader>,
+    predecessors: Vec<Leader>,
     /// Set until most owners refuse each predecessor.
     fence: Option<Fence>,
     /// The record that is being written.
-    writing: Option<Map>,
+    pending_record: Option<Map>,
     /// Earlier ones that may still be kept.
-    doubtful: Doubtful,
+    in_doubt: InDoubtRecords,
     /// When a record was last not kept, as far as is known.
-    not_kept: Option<Instant>,
+    record_failed_at: Option<Instant>,
     /// The last token given out. Kept apart from the map, since moves take tokens while a record is being written.
     token: Token,
-    contacts: BTreeMap<ServerId, Contact>,
-    moves: Vec<Moving>,
+    owners: BTreeMap<ServerId, OwnerState>,
+    moves: Vec<PendingMove>,
     /// Ranges whose owner refused its token; they need a higher one.
     refused: BTreeSet<KeyRange>,
-    settling: Vec<(Instant, KeyRange)>,
-    balanced: Option<Instant>,
+    cooling_down: Vec<(Instant, KeyRange)>,
+    last_balanced: Option<Instant>,
 }
 
 impl Leading {
     pub(in crate::grantor) fn new(
         map: Map,
-        proof: Instant,
-        others_until: Instant,
-        replaces: Vec<Leader>,
+        confirmed_at: Instant,
+        predecessors_until: Instant,
+        predecessors: Vec<Leader>,
     ) -> Self {
         Self {
-            replaces,
+            predecessors,
             fence: Some(Fence::of(&map)),
             token: map.first_token(),
             map,
             demand: Demand::default(),
-            proof,
-            checked: None,
-            others_until,
-            writing: None,
-            doubtful: Doubtful::default(),
-            not_kept: None,
-            contacts: BTreeMap::new(),
+            confirmed_at,
+            last_check: None,
+            predecessors_until,
+            pending_record: None,
+            in_doubt: InDoubtRecords::default(),
+            record_failed_at: None,
+            owners: BTreeMap::new(),
             moves: Vec::new(),
             refused: BTreeSet::new(),
-            settling: Vec::new(),
-            balanced: None,
+            cooling_down: Vec::new(),
+            last_balanced: None,
         }
     }
 
     /// A read found a record of this process: the present one, or one whose acknowledgement was lost.
     pub(in crate::grantor) fn on_own_record(&mut self, sent_at: Instant, map: Map) {
-        self.proof = self.proof.max(sent_at);
+        self.confirmed_at = self.confirmed_at.max(sent_at);
         if map.is_older_than(&self.map) {
             // A read that was sent before the last record was kept.
             return;
         }
-        if self.writing.as_ref() == Some(&map) {
-            self.writing = None;
+        if self.pending_record.as_ref() == Some(&map) {
+            self.pending_record = None;
         }
         if self.map.is_older_than(&map) {
-            self.doubtful.clear();
+            self.in_doubt.clear();
         }
         self.adopt(map);
     }
 
     pub(in crate::grantor) fn on_recorded(&mut self, now: Instant, sent_at: Instant) {
-        self.proof = self.proof.max(sent_at);
-        if let Some(map) = self.writing.take() {
-            self.doubtful.clear();
+        self.confirmed_at = self.confirmed_at.max(sent_at);
+        if let Some(map) = self.pending_record.take() {
+            self.in_doubt.clear();
             for moving in &self.moves {
                 if matches!(moving.stage, Stage::Free(_)) {
-                    self.settling.push((now + MOVE_COOLDOWN, moving.range));
+                    self.cooling_down.push((now + MOVE_COOLDOWN, moving.range));
                 }
             }
             self.adopt(map);
@@ -124,9 +124,9 @@
 
     /// The record was not kept, or may be kept later.
     pub(in crate::grantor) fn on_not_recorded(&mut self, now: Instant) {
-        self.not_kept = Some(now);
-        if let Some(map) = self.writing.take() {
-            self.doubtful.add(map);
+        self.record_failed_at = Some(now);
+        if let Some(map) = self.pending_record.take() {
+            self.in_doubt.add(map);
         }
     }
 
@@ -138,33 +138,33 @@
             let held = map.of(moving.range.first);
             held.token < moving.token || held.owner.as_ref() != Some(&moving.to)
         });
-        for contact in self.contacts.values_mut() {
-            let held = map.of_server(&contact.owner.server);
-            contact.forget_but(&held.map(|h| (h.range, h.token)).collect::<Vec<_>>());
+        for state in self.owners.values_mut() {
+            let held = map.of_server(&state.owner.server);
+            state.retain_confirmed(&held.map(|h| (h.range, h.token)).collect::<Vec<_>>());
         }
     }
 
-    pub(in crate::grantor) fn proof(&self) -> Instant {
-        self.proof
+    pub(in crate::grantor) fn confirmed_at(&self) -> Instant {
+        self.confirmed_at
     }
 
-    pub(in crate::grantor) fn others_until(&self) -> Instant {
-        self.others_until
+    pub(in crate::grantor) fn predecessors_until(&self) -> Instant {
+        self.predecessors_until
     }
 
     /// The predecessor has stopped, so that only calls that it had sent before may arrive, and those of hosts before it.
     pub(in crate::grantor) fn on_stopped(&mut self, leader: &Leader, epoch: Epoch, until: Instant) {
         let is_last = epoch.next() == self.map.epoch;
-        if is_last && self.replaces == std::slice::from_ref(leader) {
-            self.others_until = self.others_until.min(until);
+        if is_last && self.predecessors == std::slice::from_ref(leader) {
+            self.predecessors_until = self.predecessors_until.min(until);
         }
     }
 
     /// Goes on renewing, and asks the store whether it is back.
-    pub(in crate::grantor) fn renew_on(&mut self, view: View<'_>) -> Vec<Action> {
-        self.meet_owners();
+    pub(in crate::grantor) fn keep_renewing(&mut self, view: View<'_>) -> Vec<Action> {
+        self.track_owners();
         self.give_up_lost(view.now);
-        let check = self.ask_again(view.now);
+        let check = self.check_again(view.now);
         check.into_iter().chain(self.grants(view.now)).collect()
     }
 
@@ -177,12 +177,12 @@
         confirmed: &[(KeyRange, Token)],
         refused: Vec<KeyRange>,
     ) {
-        if let Some(contact) = self.contacts.get_mut(server) {
+        if let Some(state) = self.owners.get_mut(server) {
             let pause = renew_every(self.map.held().len());
-            contact.on_round(now, outcome, last_call, confirmed, !refused.is_empty(), pause);
+            state.on_round_end(now, outcome, last_call, confirmed, !refused.is_empty(), pause);
             if let Outcome::Opened(at) = outcome {
                 let token = &mut self.token;
-                contact.on_opened(at, || {
+                state.on_connected(at, || {
                     *token = token.next();
                     *token
                 });
@@ -192,8 +192,8 @@
     }
 
     /// Asks for the confirmation that new connections wait for, once none is being opened any more.
-    pub(in crate::grantor) fn check_opened(&mut self, now: Instant) -> Option<Action> {
-        let opening = self.contacts.values().any(Contact::is_opening);
+    pub(in crate::grantor) fn check_new_connections(&mut self, now: Instant) -> Option<Action> {
+        let opening = self.owners.values().any(OwnerState::is_connecting);
         if opening { None } else { self.check(now) }
     }
 
@@ -213,7 +213,7 @@
 
     /// Whether a server may be given keys: it is not known to be lost or silent.
     pub(in crate::grantor) fn is_usable(&self, server: &ServerId) -> bool {
-        self.contacts.get(server).is_none_or(Contact::is_well)
+        self.owners.get(server).is_none_or(OwnerState::is_responsive)
     }
 
     /// Mean time of a request over the servers that were measured.
@@ -236,11 +236,11 @@
         service: &ServiceName,
         may_record: bool,
     ) -> Vec<Action> {
-        self.pass_time(view);
-        self.meet_owners();
-        self.meet_majority(view.now);
+        self.advance_time(view);
+        self.track_owners();
+        self.update_fence(view.now);
         self.give_up_lost(view.now);
-        self.take_back(view.servers);
+        self.resume_returned(view.servers);
         let mut actions = Vec::new();
         actions.extend(self.check(view.now));
         self.plan(view, service);
@@ -253,54 +253,55 @@
         actions
     }
 
-    fn pass_time(&mut self, view: View<'_>) {
+    fn advance_time(&mut self, view: View<'_>) {
         self.demand.pass_time(view.now, |id| view.servers.get(id).map(|server| server.slots));
-        self.settling.retain(|(until, _)| *until > view.now);
+        self.cooling_down.retain(|(until, _)| *until > view.now);
     }
 
     /// Keeps a contact for every owner, and for those that ranges come from or go to.
-    fn meet_owners(&mut self) {
+    fn track_owners(&mut self) {
         let new: BTreeSet<Owner> = self
             .map
             .held()
             .iter()
             .filter_map(|held| held.owner.as_ref())
-            .filter(|owner| !self.contacts.contains_key(&owner.server))
+            .filter(|owner| !self.owners.contains_key(&owner.server))
             .cloned()
             .collect();
         for owner in new {
-            self.meet(owner);
+            self.track_owner(owner);
         }
         let owners = self.map.held().iter().filter_map(|held| held.owner.as_ref());
         let moving = self.moves.iter().flat_map(|moving| [&moving.from, &moving.to]);
         let needed: BTreeSet<&ServerId> = owners.chain(moving).map(|owner| &owner.server).collect();
-        self.contacts.retain(|id, contact| contact.busy || needed.contains(id));
+        self.owners.retain(|id, state| state.round_in_flight || needed.contains(id));
     }
 
     /// Begins to deal with an owner.
     ///
     /// Until the record that names this life was kept, grants to an earlier one went to whoever answered to the name, each over another
     /// connection under a higher token than before. Those may be above the token of the record.
-    fn meet(&mut self, owner: Owner) {
+    fn track_owner(&mut self, owner: Owner) {
         let id = owner.server.clone();
-        let has_other_life = self.lives(&id).next().is_some();
-        let contact = match has_other_life {
-            true => Contact::above(owner, self.next_token()),
-            false => Contact::new(owner),
+        let has_other_incarnation = self.incarnations_of(&id).next().is_some();
+        let state = match has_other_incarnation {
+            true => OwnerState::with_min_token(owner, self.next_token()),
+            false => OwnerState::new(owner),
         };
-        self.contacts.insert(id, contact);
+        self.owners.insert(id, state);
     }
 
     /// All lives under the name of a server that this leader has dealings with.
-    fn lives(&self, id: &ServerId) -> impl Iterator<Item = &Contact> {
+    fn incarnations_of(&self, id: &ServerId) -> impl Iterator<Item = &OwnerState> {
         let first = ServerId::from(id.name().clone());
-        let lives = self.contacts.range(first..).take_while(|(life, _)| life.name() == id.name());
-        lives.map(|(_, contact)| contact)
+        let incarnations =
+            self.owners.range(first..).take_while(|(life, _)| life.name() == id.name());
+        incarnations.map(|(_, state)| state)
     }
 
     fn give_up_lost(&mut self, now: Instant) {
-        for contact in self.contacts.values_mut() {
-            contact.given_up |= contact.is_lost(now);
+        for state in self.owners.values_mut() {
+            state.given_up |= state.is_lost(now);
         }
     }
 
@@ -309,44 +310,46 @@
     /// Without it the keys of a failure domain that was cut off for a few seconds stay without a server until holds have run out that
     /// ended when the cut did. A record that may give them to another server, and is on its way or in doubt, forbids it: both would hold
     /// them.
-    fn take_back(&mut self, servers: &Servers) {
-        let settled = self.writing.is_none() && self.doubtful.is_empty();
-        for contact in self.contacts.values_mut() {
-            let back = contact.is_back(servers.takes_work(&contact.owner.server));
-            if back && settled {
-                contact.try_anew();
+    fn resume_returned(&mut self, servers: &Servers) {
+        let no_record_open = self.pending_record.is_none() && self.in_doubt.is_empty();
+        for state in self.owners.values_mut() {
+            let back = state.is_back(servers.takes_work(&state.owner.server));
+            if back && no_record_open {
+                state.resume();
             }
         }
     }
 
     /// Whether more than half of the owners gave no answer although they are listed.
     pub(in crate::grantor) fn reaches_too_few(&self, view: View<'_>) -> bool {
-        let listed = |c: &&Contact| !c.ended && view.servers.takes_work(&c.owner.server);
-        let lost = self.contacts.values().filter(listed).filter(|c| c.given_up).count();
-        self.contacts.len() >= MIN_OWNERS_TO_JUDGE && lost * 2 > self.contacts.len()
+        let listed = |c: &&OwnerState| !c.ended && view.servers.takes_work(&c.owner.server);
+        let lost = self.owners.values().filter(listed).filter(|c| c.given_up).count();
+        self.owners.len() >= MIN_OWNERS_TO_JUDGE && lost * 2 > self.owners.len()
     }
 
     fn check(&mut self, now: Instant) -> Option<Action> {
-        let awaited = self.contacts.values().any(|contact| !contact.is_proved(self.proof));
-        let old = now.saturating_duration_since(self.proof) >= CHECK_EVERY;
+        let awaited =
+            self.owners.values().any(|state| !state.is_connection_confirmed(self.confirmed_at));
+        let old = now.saturating_duration_since(self.confirmed_at) >= CHECK_EVERY;
         // A store that answered the last question answers the next one too.
-        let answered = self.checked.is_none_or(|at| self.proof >= at);
+        let answered = self.last_check.is_none_or(|at| self.confirmed_at >= at);
         let pause =
             if awaited && answered { CHECK_EVERY_WHILE_CONNECTING } else { CHECK_RETRY_DELAY };
-        let is_recent = self.checked.is_some_and(|at| now < at + pause);
+        let is_recent = self.last_check.is_some_and(|at| now < at + pause);
         if !(old || awaited) || is_recent {
             return None;
         }
-        self.checked = Some(now);
+        self.last_check = Some(now);
         Some(Action::Check)
     }
 
     /// Asks the store for a confirmation, unless it was asked a moment ago.
-    fn ask_again(&mut self, now: Instant) -> Option<Action> {
-        if self.checked.is_some_and(|at| now < at + CHECK_RETRY_DELAY && at > self.proof) {
+    fn check_again(&mut self, now: Instant) -> Option<Action> {
+        if self.last_check.is_some_and(|at| now < at + CHECK_RETRY_DELAY && at > self.confirmed_at)
+        {
             return None;
         }
-        self.checked = Some(now);
+        self.last_check = Some(now);
         Some(Action::Check)
     }
 
--- a/crates/jacinthbeam-range/src/grantor/leading/plan.rs
+++ b/crates/jacinthbeam-range/src/grantor/leading/plan.rs
@@ -10,8 +10,8 @@
     balance::{self, Move},
     grantor::{
         Action, View, candidates,
-        contact::longest_hold,
-        moving::{Moving, Stage},
+        owner_state::longest_hold,
+        pending_move::{PendingMove, Stage},
         timing::{BALANCE_EVERY, moves_at_once, releases_at_once},
     },
     key::KeyRange,
@@ -40,14 +40,14 @@
             self.start(moves.into_iter().take(room));
             return;
         }
-        let due = self.balanced.is_none_or(|at| view.now >= at + BALANCE_EVERY);
-        if due && self.keeps_records() {
-            self.balanced = Some(view.now);
+        let due = self.last_balanced.is_none_or(|at| view.now >= at + BALANCE_EVERY);
+        if due && self.store_accepts_records() {
+            self.last_balanced = Some(view.now);
             let fixed: Vec<KeyRange> = self
                 .moves
                 .iter()
                 .map(|m| m.range)
-                .chain(self.settling.iter().map(|(_, range)| *range))
+                .chain(self.cooling_down.iter().map(|(_, range)| *range))
                 .collect();
             let most = moves_at_once(candidates.len()).min(room);
             let moves = balance::relieve(
@@ -65,8 +65,9 @@
     ///
     /// While it takes none, keys that are taken off an owner that can serve them have none until it does, and all requests for them are
     /// refused; a busy owner answers a part.
-    fn keeps_records(&self) -> bool {
-        self.writing.is_none() && self.not_kept.is_none_or(|at| self.proof >= at)
+    fn store_accepts_records(&self) -> bool {
+        self.pending_record.is_none()
+            && self.record_failed_at.is_none_or(|at| self.confirmed_at >= at)
     }
 
     /// The map as it will be when all moves are done.
@@ -98,7 +99,7 @@
             let held = self.map.of(range.first);
             let Some(from) = held.owner.clone().filter(|from| *from != to) else { continue };
             let token = self.next_token();
-            self.moves.push(Moving { range, from, to, token, stage: Stage::Waiting });
+            self.moves.push(PendingMove { range, from, to, token, stage: Stage::Waiting });
         }
     }
 
@@ -107,8 +108,8 @@
     pub(super) fn releases(&mut self, now: Instant) -> Vec<Action> {
         let mut actions = Vec::new();
         for moving in &mut self.moves {
-            let contact = self.contacts.get(&moving.from.server);
-            if moving.stage != Stage::Waiting || contact.is_some_and(|contact| contact.busy) {
+            let state = self.owners.get(&moving.from.server);
+            if moving.stage != Stage::Waiting || state.is_some_and(|state| state.round_in_flight) {
                 continue;
             }
             moving.stage = Stage::Releasing(now);
@@ -121,8 +122,8 @@
     pub(super) fn free_lapsed(&mut self, now: Instant) {
         for moving in &mut self.moves {
             let Stage::Releasing(ordered) = moving.stage else { continue };
-            let ended = self.contacts.get(&moving.from.server).is_some_and(|c| c.ended);
-            if ended || now >= ordered.max(self.others_until) + longest_hold() {
+            let ended = self.owners.get(&moving.from.server).is_some_and(|c| c.ended);
+            if ended || now >= ordered.max(self.predecessors_until) + longest_hold() {
                 moving.stage = Stage::Free(None);
             }
         }
--- a/crates/jacinthbeam-range/src/grantor/leading/record.rs
+++ b/crates/jacinthbeam-range/src/grantor/leading/record.rs
@@ -10,8 +10,8 @@
     balance::{self, Candidate, Move},
     grantor::{
         Action, View, candidates,
-        contact::Contact,
-        moving::{Moving, Stage},
+        owner_state::OwnerState,
+        pending_move::{PendingMove, Stage},
         timing::MERGE_ABOVE_RANGES_PER_OWNER,
     },
     key::KeyRange,
@@ -21,52 +21,52 @@
 impl Leading {
     /// The next record, if there is something to record.
     pub(super) fn record(&mut self, view: View<'_>, service: &ServiceName) -> Option<Action> {
-        if !self.has_right(view.now) || !self.may_have_news(view) {
+        if !self.may_grant(view.now) || !self.may_have_changes(view) {
             return None;
         }
         let mut map = self.map.clone();
-        let changed = self.put_free(&mut map);
-        let changed = self.put_successors(&mut map, view.servers) || changed;
-        let changed = self.put_lapsed(&mut map, view, service) || changed;
-        let changed = self.raise_refused(&mut map) || changed;
-        let changed = self.say_alone(&mut map, view.now) || changed;
+        let changed = self.assign_freed(&mut map);
+        let changed = self.assign_to_successors(&mut map, view.servers) || changed;
+        let changed = self.reassign_lapsed(&mut map, view, service) || changed;
+        let changed = self.raise_refused_tokens(&mut map) || changed;
+        let changed = self.clear_rivals(&mut map, view.now) || changed;
         // One more record tells whether those in doubt were kept, and nothing can be done about their keys before that.
-        let changed = changed || !self.doubtful.is_empty();
+        let changed = changed || !self.in_doubt.is_empty();
         if !changed {
             return None;
         }
-        self.join(&mut map);
+        self.merge_neighbours(&mut map);
         map.version += 1;
-        self.writing = Some(map.clone());
+        self.pending_record = Some(map.clone());
         Some(Action::Record(map))
     }
 
     /// Whether the next record may say anything else than the last one. Most looks find nothing; a copy of 1,100 ranges for each
     /// of them took a tenth of what ten seconds of granting take.
-    fn may_have_news(&self, view: View<'_>) -> bool {
-        let is_free = |moving: &Moving| matches!(moving.stage, Stage::Free(_));
-        let is_lost = |contact: &Contact| contact.given_up || contact.ended;
+    fn may_have_changes(&self, view: View<'_>) -> bool {
+        let is_free = |moving: &PendingMove| matches!(moving.stage, Stage::Free(_));
+        let is_lost = |state: &OwnerState| state.given_up || state.ended;
         let has_unowned = || self.map.held().iter().any(|held| held.owner.is_none());
         let has_successor = |id: &ServerId| view.servers.successor_of(id).is_some();
         !self.refused.is_empty()
-            || !self.doubtful.is_empty()
+            || !self.in_doubt.is_empty()
             || !self.map.rivals.is_empty()
             || self.moves.iter().any(is_free)
-            || self.contacts.values().any(is_lost)
-            || self.contacts.keys().any(has_successor)
+            || self.owners.values().any(is_lost)
+            || self.owners.keys().any(has_successor)
             || has_unowned()
     }
 
     /// Says once that nobody before this leader can renew any more, so that a successor has only this one to wait for.
-    fn say_alone(&self, map: &mut Map, now: Instant) -> bool {
-        let news = !map.rivals.is_empty() && now >= self.others_until;
-        if news {
+    fn clear_rivals(&self, map: &mut Map, now: Instant) -> bool {
+        let is_stale = !map.rivals.is_empty() && now >= self.predecessors_until;
+        if is_stale {
             map.rivals.clear();
         }
-        news
+        is_stale
     }
 
-    pub(super) fn put_free(&self, map: &mut Map) -> bool {
+    pub(super) fn assign_freed(&self, map: &mut Map) -> bool {
         let mut changed = false;
         for moving in &self.moves {
             if let Stage::Free(handover) = &moving.stage {
@@ -81,8 +81,8 @@
     ///
     /// Nobody waits for the end of a hold: grants to either life go to whoever answers to the name, so only the present life can have
     /// taken one, and it is the one that gets the keys.
-    pub(super) fn put_successors(&mut self, map: &mut Map, servers: &Servers) -> bool {
-        let ids: Vec<ServerId> = self.contacts.keys().cloned().collect();
+    pub(super) fn assign_to_successors(&mut self, map: &mut Map, servers: &Servers) -> bool {
+        let ids: Vec<ServerId> = self.owners.keys().cloned().collect();
         let mut changed = false;
         for id in ids {
             let life = servers.successor_of(&id).filter(|life| !life.draining);
@@ -98,7 +98,7 @@
         changed
     }
 
-    pub(super) fn put_lapsed(
+    pub(super) fn reassign_lapsed(
         &mut self,
         map: &mut Map,
         view: View<'_>,
@@ -114,10 +114,10 @@
         let expected = self.expected();
         let moves = balance::place(&expected, &self.demand.rates(&self.map), &candidates, &lapsed);
         if moves.is_empty() {
-            if !self.doubtful.is_empty() {
+            if !self.in_doubt.is_empty() {
                 return false;
             }
-            self.contacts.values_mut().filter(|c| !c.ended).for_each(Contact::try_anew);
+            self.owners.values_mut().filter(|c| !c.ended).for_each(OwnerState::resume);
             return false;
         }
         let token = self.next_token();
@@ -128,7 +128,7 @@
     }
 
     /// A token above the refused one, for the same owner.
-    pub(super) fn raise_refused(&mut self, map: &mut Map) -> bool {
+    pub(super) fn raise_refused_tokens(&mut self, map: &mut Map) -> bool {
         let refused = std::mem::take(&mut self.refused);
         let open: Vec<KeyRange> =
             refused.into_iter().filter(|range| !self.is_moving(*range)).collect();
@@ -146,19 +146,20 @@
     }
 
     /// Joins neighbouring ranges of one owner under a new token, once there are many ranges.
-    pub(super) fn join(&mut self, map: &mut Map) {
+    pub(super) fn merge_neighbours(&mut self, map: &mut Map) {
         map.join_neighbours();
-        if map.held().len() <= MERGE_ABOVE_RANGES_PER_OWNER * self.contacts.len() {
+        if map.held().len() <= MERGE_ABOVE_RANGES_PER_OWNER * self.owners.len() {
             return;
         }
         for range in map.mergeable() {
             let owner = map.of(range.first).owner.clone();
-            let steady = map.held().iter().filter(|held| range.covers(held.range)).all(|held| {
-                let id = held.owner.as_ref().map(|owner| &owner.server);
-                let contact = id.and_then(|id| self.contacts.get(id));
-                contact.is_some_and(|c| c.has_confirmed(held.range, held.token))
-            });
-            if !steady || self.is_moving(range) {
+            let all_confirmed =
+                map.held().iter().filter(|held| range.covers(held.range)).all(|held| {
+                    let id = held.owner.as_ref().map(|owner| &owner.server);
+                    let state = id.and_then(|id| self.owners.get(id));
+                    state.is_some_and(|c| c.has_confirmed(held.range, held.token))
+                });
+            if !all_confirmed || self.is_moving(range) {
                 continue;
             }
             let token = self.next_token();
@@ -170,9 +171,9 @@
     pub(super) fn lapsed(&self, now: Instant) -> Vec<KeyRange> {
         let free = |held: &&Held| {
             let Some(owner) = &held.owner else { return true };
-            self.contacts.get(&owner.server).is_some_and(|contact| {
-                let lost = contact.given_up || contact.ended;
-                lost && contact.has_lapsed(now, self.others_until)
+            self.owners.get(&owner.server).is_some_and(|state| {
+                let lost = state.given_up || state.ended;
+                lost && state.has_lapsed(now, self.predecessors_until)
             })
         };
         let ranges = self.map.held().iter().filter(free).map(|held| held.range);
--- a/crates/jacinthbeam-range/src/grantor/leading/renew.rs
+++ b/crates/jacinthbeam-range/src/grantor/leading/renew.rs
@@ -7,14 +7,14 @@
 use super::Leading;
 use crate::{
     balance,
-    grantor::{Action, RangeGrant, contact::Contact},
+    grantor::{Action, RangeGrant, owner_state::OwnerState},
     key::KeyRange,
     map::Held,
 };
 
 impl Leading {
-    pub(super) fn has_right(&self, now: Instant) -> bool {
-        now < self.right_until()
+    pub(super) fn may_grant(&self, now: Instant) -> bool {
+        now < self.may_grant_until()
     }
 
     /// What all owners should be granted now.
@@ -22,7 +22,7 @@
     /// The right is worked out once a pass, since that looks at every owner itself. Worked out once for each owner, it took the
     /// busiest of 100 hosts 35 to 55 % of its processor in place of 18 %, and the busiest of 31 hosts 22 % in place of 7 %.
     pub(super) fn grants(&mut self, now: Instant) -> Vec<Action> {
-        let until = self.right_until();
+        let until = self.may_grant_until();
         if now >= until {
             return Vec::new();
         }
@@ -41,12 +41,12 @@
 
     /// What one server should be granted now.
     pub(in crate::grantor) fn grant(&mut self, server: &ServerId, now: Instant) -> Option<Action> {
-        if !self.contacts.get(server).is_some_and(|contact| self.may_begin(contact)) {
+        if !self.owners.get(server).is_some_and(|state| self.may_begin(state)) {
             return None;
         }
         let held: Vec<&Held> = self.map.of_server(server).collect();
         let (_, grants) = self.round(server, &held, now)?;
-        let until = self.right_until();
+        let until = self.may_grant_until();
         if now >= until {
             return None;
         }
@@ -60,7 +60,7 @@
         held: &[&Held],
         now: Instant,
     ) -> Option<(ServerId, Vec<RangeGrant>)> {
-        let grants = self.grants_due(self.contacts.get(server)?, held, now);
+        let grants = self.grants_due(self.owners.get(server)?, held, now);
         (!grants.is_empty()).then(|| (server.clone(), grants))
     }
 
@@ -72,30 +72,35 @@
         now: Instant,
         until: Instant,
     ) -> Option<Action> {
-        let contact = self.contacts.get_mut(server)?;
-        contact.begin_round(now);
-        Some(Action::Grant { to: contact.owner.clone(), grants, connection: contact.line(), until })
+        let state = self.owners.get_mut(server)?;
+        state.begin_round(now);
+        Some(Action::Grant {
+            to: state.owner.clone(),
+            grants,
+            connection: state.connection(),
+            until,
+        })
     }
 
     /// What to grant to one server now: all its ranges if a renewal is due, else those it has not confirmed.
     pub(super) fn grants_due(
         &self,
-        contact: &Contact,
+        state: &OwnerState,
         held: &[&Held],
         now: Instant,
     ) -> Vec<RangeGrant> {
-        if !self.may_begin(contact) {
+        if !self.may_begin(state) {
             return Vec::new();
         }
-        let due = contact.is_due(now);
+        let due = state.is_due(now);
         let mut grants = Vec::new();
         for held in held {
-            for range in self.still_held(held.range) {
-                let new = !contact.has_confirmed(range, held.token);
-                if due || (new && contact.takes_new()) {
-                    let first = new && contact.is_after_opening(held.token);
+            for range in self.unmoved_parts(held.range) {
+                let new = !state.has_confirmed(range, held.token);
+                if due || (new && state.accepts_new_ranges()) {
+                    let first = new && state.is_newer_than_connection(held.token);
                     let handover = held.handover.clone().filter(|_| first);
-                    grants.push(RangeGrant { range, token: contact.token(held.token), handover });
+                    grants.push(RangeGrant { range, token: state.token(held.token), handover });
                 }
             }
         }
@@ -103,12 +108,15 @@
     }
 
     /// Whether a round of grants to a server may begin, if there is something to grant.
-    fn may_begin(&self, contact: &Contact) -> bool {
-        contact.is_proved(self.proof) && !contact.busy && !contact.ended && !contact.given_up
+    fn may_begin(&self, state: &OwnerState) -> bool {
+        state.is_connection_confirmed(self.confirmed_at)
+            && !state.round_in_flight
+            && !state.ended
+            && !state.given_up
     }
 
     /// What of a range is not on its way to another owner.
-    pub(super) fn still_held(&self, range: KeyRange) -> Vec<KeyRange> {
+    pub(super) fn unmoved_parts(&self, range: KeyRange) -> Vec<KeyRange> {
         let moving = self.moves.iter().map(|m| m.range).filter(|moving| moving.overlaps(range));
         balance::without(range, &moving.collect::<Vec<_>>())
     }
--- a/crates/jacinthbeam-range/src/grantor/mod.rs
+++ b/crates/jacinthbeam-range/src/grantor/mod.rs
@@ -6,10 +6,10 @@
 //! and its renewals are refused by servers that its successor has reached, or end with its last confirmation.
 
 mod action;
-mod contact;
 mod event;
 mod leading;
-mod moving;
+mod owner_state;
+mod pending_move;
 mod stopping;
 pub mod timing;
 
@@ -22,9 +22,9 @@
 use jacinthbeam_types::prelude::*;
 
 pub use action::{Action, RangeGrant};
-pub use contact::{Outcome, longest_hold};
 pub use event::{Event, NoAnswer};
 use leading::Leading;
+pub use owner_state::{Outcome, longest_hold};
 use stopping::{Replaced, Stopped};
 
 use crate::{
@@ -54,7 +54,7 @@
     /// When the word came that this process is about to stop.
     stopping: Option<Instant>,
     /// Whether a read has told what the newest record is.
-    known: bool,
+    has_read: bool,
     newest: Option<Map>,
     claim: Option<Claim>,
     next_claim: Option<Instant>,
@@ -64,7 +64,7 @@
     /// A record can be read back before the answer to its append arrives. If another were ordered by then, that answer would
     /// be taken for the other's, and grants would follow from a map that the store may never keep: a successor, which reads
     /// the store, would grant the same keys to their former owners. With one at a time, each answer has one meaning.
-    pending: u32,
+    pending_records: u32,
     replaced: Option<Replaced>,
     /// Hosts that said that they have stopped.
     stopped: Vec<Stopped>,
@@ -76,7 +76,7 @@
     map: Map,
     /// Predecessors, which may go on renewing for as long as they have a confirmation from before the claim. More than one if
     /// an earlier claim may be the one that is kept.
-    replaces: Vec<Leader>,
+    predecessors: Vec<Leader>,
 }
 
 impl Grantor {
@@ -87,12 +87,12 @@
             me,
             duty: false,
             stopping: None,
-            known: false,
+            has_read: false,
             newest: None,
             claim: None,
             next_claim: None,
             leading: None,
-            pending: 0,
+            pending_records: 0,
             replaced: None,
             stopped: Vec::new(),
         }
@@ -120,7 +120,7 @@
     /// While this process leads, the time since the store confirmed its right.
     pub fn confirmation_age(&self, now: Instant) -> Option<Duration> {
         let leading = self.leading.as_ref()?;
-        Some(now.saturating_duration_since(leading.proof()))
+        Some(now.saturating_duration_since(leading.confirmed_at()))
     }
 
     /// While this process leads and something is asked, requests of the busiest owner over the mean of all owners.
@@ -137,11 +137,11 @@
     /// Takes an event and says what to do.
     pub fn step(&mut self, view: View<'_>, event: Event) -> Vec<Action> {
         if matches!(event, Event::Recorded { .. } | Event::NotRecorded) {
-            self.pending = self.pending.saturating_sub(1);
+            self.pending_records = self.pending_records.saturating_sub(1);
         }
         let actions = self.react(view, event);
         let records = actions.iter().filter(|action| matches!(action, Action::Record(_)));
-        self.pending += records.count() as u32;
+        self.pending_records += records.count() as u32;
         actions
     }
 
@@ -164,7 +164,7 @@
                 let Some(leading) = &mut self.leading else { return Vec::new() };
                 leading.on_granted(view.now, &server, outcome, last_call, &confirmed, refused);
                 let grant = leading.grant(&server, view.now);
-                return grant.into_iter().chain(leading.check_opened(view.now)).collect();
+                return grant.into_iter().chain(leading.check_new_connections(view.now)).collect();
             }
             Event::Released { range, token, handover } => {
                 self.while_leading(|leading| leading.on_released(range, token, handover));
@@ -187,12 +187,14 @@
 
     fn act(&mut self, view: View<'_>) -> Vec<Action> {
         if let Some(since) = self.stopping {
-            return self.wind_up(view, since);
+            return self.shut_down(view, since);
         }
         match &mut self.leading {
             Some(leading) if leading.reaches_too_few(view) => self.resign(view),
-            Some(leading) => leading.act(view, &self.service, self.pending == 0),
-            None => self.tell_stopped(view.now).into_iter().chain(self.try_claim(view)).collect(),
+            Some(leading) => leading.act(view, &self.service, self.pending_records == 0),
+            None => {
+                self.notify_successor(view.now).into_iter().chain(self.try_claim(view)).collect()
+            }
         }
     }
 
@@ -202,7 +204,7 @@
         let newer = self.leading.as_ref().is_some_and(|leading| leading.map.epoch < map.epoch);
         if newer && !self.is_me(Some(map)) {
             // What was read before is old: a claim needs another read.
-            self.known = false;
+            self.has_read = false;
             self.step_down(view.now, map);
         }
     }
@@ -212,7 +214,7 @@
     }
 
     fn on_read(&mut self, view: View<'_>, sent_at: Instant, map: Option<Map>) {
-        self.known = true;
+        self.has_read = true;
         let mine = self.is_me(map.as_ref());
         self.newest = map;
         let Some(newest) = self.newest.clone().filter(|_| mine) else {
@@ -256,21 +258,21 @@
 
     fn begin(&mut self, view: View<'_>, sent_at: Instant, map: Map, claim: &Claim) {
         // A host that said that it has stopped may have had a call under way.
-        let others = if claim.replaces.is_empty() {
+        let wait = if claim.predecessors.is_empty() {
             timing::MAX_CALL_TIME
         } else {
             timing::CONFIRMATION_VALID_FOR
         };
-        let replaces = claim.replaces.clone();
+        let predecessors = claim.predecessors.clone();
         self.replaced = None;
-        let mut leading = Leading::new(map, sent_at, view.now + others, replaces);
+        let mut leading = Leading::new(map, sent_at, view.now + wait, predecessors);
         self.stopped.iter().for_each(|s| leading.on_stopped(&s.leader, s.epoch, s.until));
         self.leading = Some(leading);
     }
 
     fn try_claim(&mut self, view: View<'_>) -> Option<Action> {
         let early = self.next_claim.is_some_and(|at| view.now < at);
-        if !self.duty || !self.known || early || self.pending > 0 {
+        if !self.duty || !self.has_read || early || self.pending_records > 0 {
             return None;
         }
         let mut map = self.newest.clone().unwrap_or_else(Map::unowned);
@@ -278,10 +280,10 @@
             return None;
         }
         // An earlier claim may still be kept late; what it would have replaced counts too.
-        let mut replaces = self.claim.take().map_or_else(Vec::new, |claim| claim.replaces);
-        replaces.extend(map.leader.clone().filter(|leader| !replaces.contains(leader)));
+        let mut predecessors = self.claim.take().map_or_else(Vec::new, |claim| claim.predecessors);
+        predecessors.extend(map.leader.clone().filter(|leader| !predecessors.contains(leader)));
         map.begin_epoch(self.me.clone());
-        self.claim = Some(Claim { map: map.clone(), replaces });
+        self.claim = Some(Claim { map: map.clone(), predecessors });
         self.next_claim = Some(view.now + timing::CLAIM_RETRY_DELAY);
         Some(Action::Record(map))
     }
--- a/crates/jacinthbeam-range/src/grantor/contact.rs
+++ b/crates/jacinthbeam-range/src/grantor/owner_state.rs
@@ -28,17 +28,17 @@
 
 /// Dealings with one server since this host began to grant.
 #[derive(Debug)]
-pub(super) struct Contact {
+pub(super) struct OwnerState {
     pub(super) owner: Owner,
     /// When the present connection was known to be open.
-    opened: Option<Instant>,
+    connected_at: Option<Instant>,
     /// Lowest token for grants over the present connection.
     ///
     /// Whoever answers on a new connection may be another life of the server, which the list doesn't show yet. It knows nothing of the
     /// tokens that the life before it took, and would hold keys under the very token that the other had; a request that the former life
     /// still works on could not be told from its own. So a grant and its renewals go over one connection, and over the next one
     /// under a token that no life has seen.
-    lowest: Token,
+    min_token: Token,
     /// End of the last call that may have granted something: answered, or given up with its connection reset.
     last_call: Option<Instant>,
     next_round: Option<Instant>,
@@ -47,11 +47,11 @@
     /// First of the calls without an answer since the last answer.
     silent_since: Option<Instant>,
     /// A round of grants is under way.
-    pub(super) busy: bool,
+    pub(super) round_in_flight: bool,
     /// When the present round began, or the last one.
-    begun: Option<Instant>,
+    round_started: Option<Instant>,
     /// When the last round began of which the server took a call and refused none.
-    took_at: Option<Instant>,
+    accepted_at: Option<Instant>,
     /// This life of the server has surely ended.
     pub(super) ended: bool,
     /// No grant is sent any more, so that its hold runs out.
@@ -62,19 +62,19 @@
     confirmed: BTreeSet<(KeyRange, Token)>,
 }
 
-impl Contact {
+impl OwnerState {
     pub(super) fn new(owner: Owner) -> Self {
         Self {
             owner,
-            opened: None,
-            lowest: Token(0),
+            connected_at: None,
+            min_token: Token(0),
             last_call: None,
             next_round: None,
             refused: false,
             silent_since: None,
-            busy: false,
-            begun: None,
-            took_at: None,
+            round_in_flight: false,
+            round_started: None,
+            accepted_at: None,
             ended: false,
             given_up: false,
             unlisted: false,
@@ -89,18 +89,18 @@
     }
 
     /// The same for a life to whose name grants under tokens below `lowest` may have gone.
-    pub(super) fn above(owner: Owner, lowest: Token) -> Self {
-        Self { lowest, ..Self::new(owner) }
+    pub(super) fn with_min_token(owner: Owner, min_token: Token) -> Self {
+        Self { min_token, ..Self::new(owner) }
     }
 
     /// The connection that calls may go over.
-    pub(super) fn line(&self) -> Option<Instant> {
-        self.opened
+    pub(super) fn connection(&self) -> Option<Instant> {
+        self.connected_at
     }
 
     /// Whether no connection to the server is known yet, and one is being opened.
-    pub(super) fn is_opening(&self) -> bool {
-        self.busy && self.opened.is_none()
+    pub(super) fn is_connecting(&self) -> bool {
+        self.round_in_flight && self.connected_at.is_none()
     }
 
     /// Whether the present connection was open before `proof`, or none is known.
@@ -109,37 +109,37 @@
     /// one that was open when no successor had a record yet, a leader reaches the life that refuses it from its successor's first
     /// grant on. Over a later one it could reach a life that was born after that grant and has forgotten it, and two servers would
     /// hold the same keys.
-    pub(super) fn is_proved(&self, proof: Instant) -> bool {
-        self.opened.is_none_or(|at| at < proof)
+    pub(super) fn is_connection_confirmed(&self, confirmed_at: Instant) -> bool {
+        self.connected_at.is_none_or(|at| at < confirmed_at)
     }
 
     /// The token under which a range is granted that the map has under `token`.
     pub(super) fn token(&self, token: Token) -> Token {
-        token.max(self.lowest)
+        token.max(self.min_token)
     }
 
     /// Whether the range with this token came after the present connection.
-    pub(super) fn is_after_opening(&self, token: Token) -> bool {
-        token > self.lowest
+    pub(super) fn is_newer_than_connection(&self, token: Token) -> bool {
+        token > self.min_token
     }
 
     /// Another connection was open at `at`. `fresh` is a token above all that were given out.
-    pub(super) fn on_opened(&mut self, at: Instant, fresh: impl FnOnce() -> Token) {
-        if self.opened.replace(at).is_some() {
-            self.lowest = fresh();
+    pub(super) fn on_connected(&mut self, at: Instant, fresh: impl FnOnce() -> Token) {
+        if self.connected_at.replace(at).is_some() {
+            self.min_token = fresh();
             self.confirmed.clear();
         }
     }
 
     /// A round of grants is ordered. None of its calls is sent before this.
     pub(super) fn begin_round(&mut self, now: Instant) {
-        self.busy = true;
-        self.begun = Some(now);
+        self.round_in_flight = true;
+        self.round_started = Some(now);
     }
 
     /// A time after which the server took a grant.
-    pub(super) fn took_at(&self) -> Option<Instant> {
-        self.took_at.filter(|_| !self.ended)
+    pub(super) fn accepted_at(&self) -> Option<Instant> {
+        self.accepted_at.filter(|_| !self.ended)
     }
 
     /// Whether a round of renewals may start now.
@@ -148,16 +148,16 @@
     }
 
     /// Whether grants of new ranges may go out before the next round.
-    pub(super) fn takes_new(&self) -> bool {
-        self.is_well() && !self.refused
+    pub(super) fn accepts_new_ranges(&self) -> bool {
+        self.is_responsive() && !self.refused
     }
 
     /// Whether the server answered the last time it was asked, or was not asked yet.
-    pub(super) fn is_well(&self) -> bool {
+    pub(super) fn is_responsive(&self) -> bool {
         self.silent_since.is_none() && !self.ended && !self.given_up
     }
 
-    pub(super) fn on_round(
+    pub(super) fn on_round_end(
         &mut self,
         now: Instant,
         outcome: Outcome,
@@ -166,9 +166,9 @@
         refused: bool,
         renew_every: Duration,
     ) {
-        self.busy = false;
+        self.round_in_flight = false;
         if !confirmed.is_empty() && !refused {
-            self.took_at = self.took_at.max(self.begun);
+            self.accepted_at = self.accepted_at.max(self.round_started);
         }
         self.refused = refused;
         self.last_call = self.last_call.max(last_call);
@@ -194,10 +194,10 @@
     }
 
     /// Keeps only what the present map still says, so that the set doesn't grow with each move.
-    pub(super) fn forget_but(&mut self, held: &[(KeyRange, Token)]) {
-        let lowest = self.lowest;
+    pub(super) fn retain_confirmed(&mut self, held: &[(KeyRange, Token)]) {
+        let min_token = self.min_token;
         let is_current = |range: KeyRange, token| {
-            held.iter().any(|(other, of)| lowest.max(*of) == token && other.overlaps(range))
+            held.iter().any(|(other, of)| min_token.max(*of) == token && other.overlaps(range))
         };
         self.confirmed.retain(|(range, token)| is_current(*range, *token));
     }
@@ -211,12 +211,12 @@
     /// Whether nothing that was granted to the server can be in force any more, given that nothing more is granted.
     ///
     /// `others_until` is the time until which somebody else may still have renewed its grants.
-    pub(super) fn has_lapsed(&self, now: Instant, others_until: Instant) -> bool {
+    pub(super) fn has_lapsed(&self, now: Instant, predecessors_until: Instant) -> bool {
         if self.ended {
             return true;
         }
-        let last = self.last_call.map_or(others_until, |call| call.max(others_until));
-        !self.busy && now >= last + longest_hold()
+        let last = self.last_call.map_or(predecessors_until, |call| call.max(predecessors_until));
+        !self.round_in_flight && now >= last + longest_hold()
     }
 
     /// Whether a server that was given up has come back: it had left the list, and is on it again.
@@ -228,7 +228,7 @@
     }
 
     /// Starts over with a server that was given up.
-    pub(super) fn try_anew(&mut self) {
+    pub(super) fn resume(&mut self) {
         self.given_up = false;
         self.unlisted = false;
         self.silent_since = None;
--- a/crates/jacinthbeam-range/src/grantor/moving.rs
+++ b/crates/jacinthbeam-range/src/grantor/pending_move.rs
@@ -7,7 +7,7 @@
 use crate::{key::KeyRange, map::Owner};
 
 /// When the release was ordered. The range was granted to its old owner before that, and is not again.
-pub(super) type Ordered = Instant;
+pub(super) type OrderedAt = Instant;
 
 /// How far a change of owner has come.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -20,14 +20,14 @@
     /// the old owner would go on serving beside the new one. That is one hold after the release was ordered, however long the answer
     /// is waited for. Counted from the end of that wait, the keys of a server that ended with requests of theirs had no owner for 7.5 s
     /// in place of 3.6, as reckoned from the spans.
-    Releasing(Ordered),
+    Releasing(OrderedAt),
     /// The old owner holds the keys no longer.
     Free(Option<String>),
 }
 
 /// One range that changes its owner. Renewals leave it out from the start.
 #[derive(Debug, Clone)]
-pub(super) struct Moving {
+pub(super) struct PendingMove {
     pub(super) range: KeyRange,
     pub(super) from: Owner,
     pub(super) to: Owner,
--- a/crates/jacinthbeam-range/src/grantor/stopping.rs
+++ b/crates/jacinthbeam-range/src/grantor/stopping.rs
@@ -24,28 +24,28 @@
 /// A host that was replaced, which tells its successor so.
 #[derive(Debug)]
 pub(super) struct Replaced {
-    pub(super) by: Leader,
+    pub(super) successor: Leader,
     pub(super) epoch: Epoch,
-    pub(super) others_until: Instant,
-    pub(super) tell_until: Instant,
+    pub(super) predecessors_until: Instant,
+    pub(super) notify_until: Instant,
 }
 
 impl Grantor {
     pub(super) fn step_down(&mut self, now: Instant, map: &Map) {
         let Some(leading) = self.leading.take() else { return };
-        let replaced = |by: &Leader| Replaced {
-            by: by.clone(),
+        let replaced = |successor: &Leader| Replaced {
+            successor: successor.clone(),
             epoch: leading.map.epoch,
-            others_until: leading.others_until(),
-            tell_until: now + timing::NOTIFY_SUCCESSOR_FOR,
+            predecessors_until: leading.predecessors_until(),
+            notify_until: now + timing::NOTIFY_SUCCESSOR_FOR,
         };
         self.replaced = map.leader.as_ref().map(replaced);
     }
 
-    pub(super) fn tell_stopped(&self, now: Instant) -> Option<Action> {
-        let replaced = self.replaced.as_ref().filter(|replaced| now < replaced.tell_until)?;
-        let others_left = replaced.others_until.saturating_duration_since(now);
-        let (to, epoch) = (replaced.by.clone(), replaced.epoch);
+    pub(super) fn notify_successor(&self, now: Instant) -> Option<Action> {
+        let replaced = self.replaced.as_ref().filter(|replaced| now < replaced.notify_until)?;
+        let others_left = replaced.predecessors_until.saturating_duration_since(now);
+        let (to, epoch) = (replaced.successor.clone(), replaced.epoch);
         Some(Action::NotifySuccessor { to, epoch, others_left })
     }
 
@@ -72,10 +72,10 @@
     ///
     /// While the store is away nobody can take over. Keys that were no longer renewed would have no server from the end of their holds
     /// until it is back, some seconds in which the process is still there for its last requests.
-    pub(super) fn wind_up(&mut self, view: View<'_>, since: Instant) -> Vec<Action> {
+    pub(super) fn shut_down(&mut self, view: View<'_>, since: Instant) -> Vec<Action> {
         self.claim = None;
         match &mut self.leading {
-            Some(leading) if leading.proof() < since => leading.renew_on(view),
+            Some(leading) if leading.confirmed_at() < since => leading.keep_renewing(view),
             _ => self.retire(view.now),
         }
     }
@@ -83,7 +83,7 @@
     /// The process stops now. If it still grants, the others are told that it does no more.
     pub(super) fn end(&mut self, now: Instant) -> Vec<Action> {
         let Some(leading) = self.leading.take() else { return Vec::new() };
-        let others_left = leading.others_until().saturating_duration_since(now);
+        let others_left = leading.predecessors_until().saturating_duration_since(now);
         vec![Action::BroadcastStopped { epoch: leading.map.epoch, others_left }]
     }
 
@@ -94,8 +94,8 @@
     pub(super) fn retire(&mut self, now: Instant) -> Vec<Action> {
         self.claim = None;
         let Some(leading) = self.leading.take() else { return Vec::new() };
-        if now < leading.others_until() {
-            let others_left = leading.others_until().saturating_duration_since(now);
+        if now < leading.predecessors_until() {
+            let others_left = leading.predecessors_until().saturating_duration_since(now);
             return vec![Action::BroadcastStopped { epoch: leading.map.epoch, others_left }];
         }
         let mut map = leading.map;
