--- a/crates/jacinthbeam-host/src/process/control/granting.rs
+++ b/crates/jacinthbeam-host/src/process/control/granting.rs
@@ -8,8 +8,8 @@
 
 use bytes::Bytes;
 use jacinthbeam_range::{
-    Event, Grantor, Map, Order,
-    grantor::{View as GrantView, timing::REST},
+    Action, Event, Grantor, Map,
+    grantor::{View as GrantView, timing::RESIGN_COOLDOWN},
 };
 use jacinthbeam_store::{
     Call, Error, Partition, Reply,
@@ -125,7 +125,7 @@
         let partition = self.partitions.get(&number).filter(|partition| partition.read);
         let Some(partition) = partition else { return };
         let map = partition.newest(service).cloned();
-        self.step(service, Event::Read { asked, map });
+        self.step(service, Event::Read { sent_at: asked, map });
     }
 
     pub(super) fn on_put(
@@ -143,7 +143,7 @@
                 if let Some(partition) = self.partitions.get_mut(&number) {
                     partition.take_own(service.clone(), at, end, map.clone());
                 }
-                self.step(service, Event::Recorded { asked });
+                self.step(service, Event::Recorded { sent_at: asked });
                 let moved = self.known.map(service).map_or(0, |known| map.moved_since(known));
                 self.counters.on_moved(service, moved);
                 let maps = self.known.take_map(service.clone(), map);
@@ -194,7 +194,7 @@
                 let since = since.unwrap_or_default();
                 self.counters.on_owners(service, map.unowned_keys(), since);
             }
-            if let Some(proof_age) = granting.grantor.proof_age(now) {
+            if let Some(proof_age) = granting.grantor.confirmation_age(now) {
                 self.counters.on_leading(service, proof_age, granting.grantor.imbalance());
             }
         }
@@ -215,11 +215,11 @@
     pub(super) fn step(&mut self, service: &ServiceName, event: Event) {
         let now = self.clock.now();
         let unchanged = self.known.servers_changed().map(|at| now.saturating_duration_since(at));
-        let settled = unchanged.is_some_and(|since| since >= SETTLED_AFTER);
+        let servers_stable = unchanged.is_some_and(|since| since >= SETTLED_AFTER);
         let Some(granting) = self.granting.get_mut(service) else { return };
         let led = granting.grantor.leads();
-        let view = GrantView { now, servers: self.known.servers(), settled };
-        let orders = granting.grantor.step(view, event);
+        let view = GrantView { now, servers: self.known.servers(), servers_stable };
+        let actions = granting.grantor.step(view, event);
         let leads = granting.grantor.leads();
         let epoch = granting.grantor.map().map(|map| map.epoch);
         granting.leads.set(epoch.filter(|_| leads));
@@ -229,8 +229,8 @@
         if led && !leads {
             self.caller.keep_only(&[]);
         }
-        for order in orders {
-            self.carry_out(service, order);
+        for action in actions {
+            self.carry_out(service, action);
         }
     }
 
@@ -241,20 +241,20 @@
         Some(Leadership { epoch, leads })
     }
 
-    pub(super) fn carry_out(&mut self, service: &ServiceName, order: Order) {
+    pub(super) fn carry_out(&mut self, service: &ServiceName, action: Action) {
         let number = self.partition_of(service);
-        match order {
-            Order::Record(map) => self.put(service, number, map),
-            Order::Check => self.look(number),
-            Order::Grant { to, calls, over, until } => {
+        match action {
+            Action::Record(map) => self.put(service, number, map),
+            Action::Check => self.look(number),
+            Action::Grant { to, grants, connection, until } => {
                 let Some(leadership) = self.leadership(service) else { return };
-                self.caller.grant(service.clone(), to, calls, over, until, leadership);
+                self.caller.grant(service.clone(), to, grants, connection, until, leadership);
             }
-            Order::Release { from, range, token } => {
+            Action::Release { from, range, token } => {
                 let Some(leadership) = self.leadership(service) else { return };
                 self.caller.release(service.clone(), from, (range, token), leadership);
             }
-            Order::TellStopped { to, epoch, others_left } => {
+            Action::NotifySuccessor { to, epoch, others_left } => {
                 let leader = self.me.clone();
                 let service = service.clone();
                 let message = Message::Stopped { service, leader, epoch, others_left };
@@ -263,10 +263,12 @@
                     tracing::debug!(part = "grant", event = "not-told", host = %to.host, error = ?err);
                 }
             }
-            Order::Announce { epoch, others_left } => self.announce(service, epoch, others_left),
-            Order::Resign => {
+            Action::BroadcastStopped { epoch, others_left } => {
+                self.announce(service, epoch, others_left)
+            }
+            Action::Resign => {
                 tracing::warn!(part = "duty", event = "resigned", service = %service, why = "most-owners-unreachable");
-                self.wish.rest_until.set(Some(self.clock.now() + REST));
+                self.wish.rest_until.set(Some(self.clock.now() + RESIGN_COOLDOWN));
             }
         }
     }
--- a/crates/jacinthbeam-range/src/grantor/mod.rs
+++ b/crates/jacinthbeam-range/src/grantor/mod.rs
@@ -1,15 +1,15 @@
 //! Decides, for one service, what the host that grants its keys does next.
 //!
-//! At most one life of a process leads at a time: the one that the newest record names. It goes on only within [`timing::PROOF`]
+//! At most one life of a process leads at a time: the one that the newest record names. It goes on only within [`timing::CONFIRMATION_VALID_FOR`]
 //! of the last confirmation by the store, and everything it changes is recorded in the store, on the condition that nothing
 //! else was, before a new owner hears of it. A leader that is replaced, cut off or suspended therefore can't name an owner,
 //! and its renewals are refused by servers that its successor has reached, or end with its last confirmation.
 
-mod contact;
+mod action;
 mod event;
 mod leading;
-mod moving;
-mod order;
+mod owner_state;
+mod pending_move;
 mod stopping;
 pub mod timing;
 
@@ -21,10 +21,10 @@
 use jacinthbeam_route::{Server, Servers};
 use jacinthbeam_types::prelude::*;
 
-pub use contact::{Outcome, longest_hold};
+pub use action::{Action, RangeGrant};
 pub use event::{Event, NoAnswer};
 use leading::Leading;
-pub use order::{Call, Order};
+pub use owner_state::{Outcome, longest_hold};
 use stopping::{Replaced, Stopped};
 
 use crate::{
@@ -42,7 +42,7 @@
     /// The backend servers.
     pub servers: &'a Servers,
     /// Whether the list has been known and unchanged for a while, so that a first division is worth making.
-    pub settled: bool,
+    pub servers_stable: bool,
 }
 
 /// The part of one host in granting the keys of one service.
@@ -54,7 +54,7 @@
     /// When the word came that this process is about to stop.
     stopping: Option<Instant>,
     /// Whether a read has told what the newest record is.
-    known: bool,
+    has_read: bool,
     newest: Option<Map>,
     claim: Option<Claim>,
     next_claim: Option<Instant>,
@@ -64,7 +64,7 @@
     /// A record can be read back before the answer to its append arrives. If another were ordered by then, that answer would
     /// be taken for the other's, and grants would follow from a map that the store may never keep: a successor, which reads
     /// the store, would grant the same keys to their former owners. With one at a time, each answer has one meaning.
-    pending: u32,
+    pending_records: u32,
     replaced: Option<Replaced>,
     /// Hosts that said that they have stopped.
     stopped: Vec<Stopped>,
@@ -76,7 +76,7 @@
     map: Map,
     /// Predecessors, which may go on renewing for as long as they have a confirmation from before the claim. More than one if
     /// an earlier claim may be the one that is kept.
-    replaces: Vec<Leader>,
+    predecessors: Vec<Leader>,
 }
 
 impl Grantor {
@@ -87,12 +87,12 @@
             me,
             duty: false,
             stopping: None,
-            known: false,
+            has_read: false,
             newest: None,
             claim: None,
             next_claim: None,
             leading: None,
-            pending: 0,
+            pending_records: 0,
             replaced: None,
             stopped: Vec::new(),
         }
@@ -118,9 +118,9 @@
     }
 
     /// While this process leads, the time since the store confirmed its right.
-    pub fn proof_age(&self, now: Instant) -> Option<Duration> {
+    pub fn confirmation_age(&self, now: Instant) -> Option<Duration> {
         let leading = self.leading.as_ref()?;
-        Some(now.saturating_duration_since(leading.proof()))
+        Some(now.saturating_duration_since(leading.confirmed_at()))
     }
 
     /// While this process leads and something is asked, requests of the busiest owner over the mean of all owners.
@@ -135,24 +135,24 @@
     }
 
     /// Takes an event and says what to do.
-    pub fn step(&mut self, view: View<'_>, event: Event) -> Vec<Order> {
+    pub fn step(&mut self, view: View<'_>, event: Event) -> Vec<Action> {
         if matches!(event, Event::Recorded { .. } | Event::NotRecorded) {
-            self.pending = self.pending.saturating_sub(1);
+            self.pending_records = self.pending_records.saturating_sub(1);
         }
-        let orders = self.react(view, event);
-        let records = orders.iter().filter(|order| matches!(order, Order::Record(_)));
-        self.pending += records.count() as u32;
-        orders
+        let actions = self.react(view, event);
+        let records = actions.iter().filter(|action| matches!(action, Action::Record(_)));
+        self.pending_records += records.count() as u32;
+        actions
     }
 
-    fn react(&mut self, view: View<'_>, event: Event) -> Vec<Order> {
+    fn react(&mut self, view: View<'_>, event: Event) -> Vec<Action> {
         match event {
             Event::Duty(duty) => self.duty = duty,
-            Event::Read { asked, map } => self.on_read(view, asked, map),
-            Event::Recorded { asked } => self.on_recorded(view, asked),
+            Event::Read { sent_at, map } => self.on_read(view, sent_at, map),
+            Event::Recorded { sent_at } => self.on_recorded(view, sent_at),
             Event::NotRecorded => self.on_not_recorded(view),
-            Event::Stop => self.stopping = Some(view.now),
-            Event::End => return self.end(view.now),
+            Event::ShutdownStarted => self.stopping = Some(view.now),
+            Event::Exit => return self.end(view.now),
             // These come hundreds of times a second from a large fleet, and a look at everything takes a time that grows with it: a
             // host that granted 1,100 ranges heard of a configuration 3.9 s late, behind what it had to do for each answer. The next tick
             // is soon enough for what they change, but for new ranges of the same server.
@@ -164,15 +164,15 @@
                 let Some(leading) = &mut self.leading else { return Vec::new() };
                 leading.on_granted(view.now, &server, outcome, last_call, &confirmed, refused);
                 let grant = leading.grant(&server, view.now);
-                return grant.into_iter().chain(leading.check_opened(view.now)).collect();
+                return grant.into_iter().chain(leading.check_new_connections(view.now)).collect();
             }
             Event::Released { range, token, handover } => {
                 self.while_leading(|leading| leading.on_released(range, token, handover));
                 return Vec::new();
             }
-            Event::Heard(map) => self.on_heard(view, &map),
-            Event::Stopped { leader, epoch, others_left } => {
-                self.on_stopped(leader, epoch, view.now + others_left.max(timing::CALL_TAKES));
+            Event::PeerMap(map) => self.on_heard(view, &map),
+            Event::PeerStopped { leader, epoch, others_left } => {
+                self.on_stopped(leader, epoch, view.now + others_left.max(timing::MAX_CALL_TIME));
             }
             Event::Tick => {}
         }
@@ -185,14 +185,16 @@
         }
     }
 
-    fn act(&mut self, view: View<'_>) -> Vec<Order> {
+    fn act(&mut self, view: View<'_>) -> Vec<Action> {
         if let Some(since) = self.stopping {
-            return self.wind_up(view, since);
+            return self.shut_down(view, since);
         }
         match &mut self.leading {
             Some(leading) if leading.reaches_too_few(view) => self.resign(view),
-            Some(leading) => leading.act(view, &self.service, self.pending == 0),
-            None => self.tell_stopped(view.now).into_iter().chain(self.try_claim(view)).collect(),
+            Some(leading) => leading.act(view, &self.service, self.pending_records == 0),
+            None => {
+                self.notify_successor(view.now).into_iter().chain(self.try_claim(view)).collect()
+            }
         }
     }
 
@@ -202,7 +204,7 @@
         let newer = self.leading.as_ref().is_some_and(|leading| leading.map.epoch < map.epoch);
         if newer && !self.is_me(Some(map)) {
             // What was read before is old: a claim needs another read.
-            self.known = false;
+            self.has_read = false;
             self.step_down(view.now, map);
         }
     }
@@ -211,8 +213,8 @@
         map.is_some_and(|map| map.leader.as_ref() == Some(&self.me))
     }
 
-    fn on_read(&mut self, view: View<'_>, asked: Instant, map: Option<Map>) {
-        self.known = true;
+    fn on_read(&mut self, view: View<'_>, sent_at: Instant, map: Option<Map>) {
+        self.has_read = true;
         let mine = self.is_me(map.as_ref());
         self.newest = map;
         let Some(newest) = self.newest.clone().filter(|_| mine) else {
@@ -226,20 +228,20 @@
         // in the old epoch and give out its tokens anew, below those that servers still have.
         let kept = self.claim.take_if(|claim| claim.map.epoch == newest.epoch);
         match (&mut self.leading, kept) {
-            (Some(leading), _) => leading.on_own_record(asked, newest),
-            (None, Some(claim)) => self.begin(view, asked, newest, &claim),
+            (Some(leading), _) => leading.on_own_record(sent_at, newest),
+            (None, Some(claim)) => self.begin(view, sent_at, newest, &claim),
             // Without a claim there is nothing to lead: this process has stopped.
             (None, None) => {}
         }
     }
 
-    fn on_recorded(&mut self, view: View<'_>, asked: Instant) {
+    fn on_recorded(&mut self, view: View<'_>, sent_at: Instant) {
         if let Some(leading) = &mut self.leading {
-            leading.on_recorded(view.now, asked);
+            leading.on_recorded(view.now, sent_at);
             self.newest = Some(leading.map.clone());
         } else if let Some(claim) = self.claim.take() {
             let newer = self.newest.clone().filter(|newest| claim.map.is_older_than(newest));
-            self.begin(view, asked, claim.map.clone(), &claim);
+            self.begin(view, sent_at, claim.map.clone(), &claim);
             // Its successor's record was read before the answer to the claim came. Leading on, it would put its next record over that one, and
             // two hosts would grant under tokens of two epochs. It grants nothing, and says so to the successor, which waits for it.
             match newer {
@@ -250,23 +252,27 @@
     }
 
     fn on_not_recorded(&mut self, view: View<'_>) {
-        self.next_claim = Some(view.now + timing::CLAIM_AGAIN);
+        self.next_claim = Some(view.now + timing::CLAIM_RETRY_DELAY);
         self.while_leading(|leading| leading.on_not_recorded(view.now));
     }
 
-    fn begin(&mut self, view: View<'_>, asked: Instant, map: Map, claim: &Claim) {
+    fn begin(&mut self, view: View<'_>, sent_at: Instant, map: Map, claim: &Claim) {
         // A host that said that it has stopped may have had a call under way.
-        let others = if claim.replaces.is_empty() { timing::CALL_TAKES } else { timing::PROOF };
-        let replaces = claim.replaces.clone();
+        let wait = if claim.predecessors.is_empty() {
+            timing::MAX_CALL_TIME
+        } else {
+            timing::CONFIRMATION_VALID_FOR
+        };
+        let predecessors = claim.predecessors.clone();
         self.replaced = None;
-        let mut leading = Leading::new(map, asked, view.now + others, replaces);
+        let mut leading = Leading::new(map, sent_at, view.now + wait, predecessors);
         self.stopped.iter().for_each(|s| leading.on_stopped(&s.leader, s.epoch, s.until));
         self.leading = Some(leading);
     }
 
-    fn try_claim(&mut self, view: View<'_>) -> Option<Order> {
+    fn try_claim(&mut self, view: View<'_>) -> Option<Action> {
         let early = self.next_claim.is_some_and(|at| view.now < at);
-        if !self.duty || !self.known || early || self.pending > 0 {
+        if !self.duty || !self.has_read || early || self.pending_records > 0 {
             return None;
         }
         let mut map = self.newest.clone().unwrap_or_else(Map::unowned);
@@ -274,17 +280,17 @@
             return None;
         }
         // An earlier claim may still be kept late; what it would have replaced counts too.
-        let mut replaces = self.claim.take().map_or_else(Vec::new, |claim| claim.replaces);
-        replaces.extend(map.leader.clone().filter(|leader| !replaces.contains(leader)));
+        let mut predecessors = self.claim.take().map_or_else(Vec::new, |claim| claim.predecessors);
+        predecessors.extend(map.leader.clone().filter(|leader| !predecessors.contains(leader)));
         map.begin_epoch(self.me.clone());
-        self.claim = Some(Claim { map: map.clone(), replaces });
-        self.next_claim = Some(view.now + timing::CLAIM_AGAIN);
-        Some(Order::Record(map))
+        self.claim = Some(Claim { map: map.clone(), predecessors });
+        self.next_claim = Some(view.now + timing::CLAIM_RETRY_DELAY);
+        Some(Action::Record(map))
     }
 
     /// Divides the keys for the first time. Returns whether there was anyone to give them to.
     fn divide(&self, view: View<'_>, map: &mut Map) -> bool {
-        if !view.settled {
+        if !view.servers_stable {
             return false;
         }
         let servers: Vec<_> = view.servers.of(&self.service).collect();
--- a/crates/jacinthbeam-range/tests/grantor/takeover.rs
+++ b/crates/jacinthbeam-range/tests/grantor/takeover.rs
@@ -19,7 +19,7 @@
     let mut play = Play::among(2, 2, first.map.clone(), &[1]);
     let begun = play.now;
     play.until(|play| play.keys_of(1) == 0);
-    assert!(play.now >= begun + timing::PROOF + longest_hold());
+    assert!(play.now >= begun + timing::CONFIRMATION_VALID_FOR + longest_hold());
 }
 
 /// The host that led has died, and a server a moment later. Most servers take the successor's grants, so that the predecessor,
@@ -32,10 +32,10 @@
     let mut play = Play::among(3, 2, first.map.clone(), &[1]);
     let begun = play.now;
     play.until(|play| play.keys_of(1) == 0);
-    let bound = timing::MAJORITY_LASTS + timing::CALL_TAKES + timing::MARGIN;
+    let bound = timing::MAJORITY_VALID_FOR + timing::MAX_CALL_TIME + timing::MARGIN;
     assert!(play.now >= begun + bound + longest_hold());
     assert!(play.now < begun + bound + longest_hold() + Duration::from_secs(1));
-    assert!(bound < timing::PROOF);
+    assert!(bound < timing::CONFIRMATION_VALID_FOR);
 }
 
 /// The host that led has replaced another a second before it died. Most servers refuse both from the first grants of the third host
@@ -49,9 +49,9 @@
     let mut play = Play::among(3, 3, second.map.clone(), &[1]);
     let begun = play.now;
     play.until(|play| play.keys_of(1) == 0);
-    let bound = timing::MAJORITY_LASTS + timing::CALL_TAKES + timing::MARGIN;
+    let bound = timing::MAJORITY_VALID_FOR + timing::MAX_CALL_TIME + timing::MARGIN;
     assert!(play.now >= begun + bound + longest_hold());
-    assert!(play.now < begun + timing::PROOF);
+    assert!(play.now < begun + timing::CONFIRMATION_VALID_FOR);
 }
 
 /// A host has replaced another and gone on to give all keys to new servers. The one before it, cut off with the old ones, has most
@@ -70,7 +70,7 @@
     let mut play = Play::among(5, 3, Some(map), &[5]);
     let begun = play.now;
     play.until(|play| play.keys_of(5) == 0);
-    assert!(play.now >= begun + timing::PROOF + longest_hold());
+    assert!(play.now >= begun + timing::CONFIRMATION_VALID_FOR + longest_hold());
 }
 
 /// The store turns a host away that leads, and another takes over. The first hears of it from a third, stops, and says so. Its
@@ -81,15 +81,15 @@
     let mut play = Play::among(2, 2, first.map.clone(), &[1]);
     let (begun, record) = (play.now, play.map.clone().unwrap());
     first.sent.clear();
-    first.feed(Event::Heard(record));
+    first.feed(Event::PeerMap(record));
     first.run(Duration::from_secs(2));
     assert!(!first.grantor.leads() && first.sent.is_empty());
     let others_left = first.told[0];
-    play.feed(Event::Stopped { leader: leader(1), epoch: Epoch(1), others_left });
+    play.feed(Event::PeerStopped { leader: leader(1), epoch: Epoch(1), others_left });
     play.until(|play| play.keys_of(1) == 0);
     let took = play.now - begun;
-    assert!(took >= timing::CALL_TAKES + longest_hold());
-    assert!(took < timing::PROOF + longest_hold());
+    assert!(took >= timing::MAX_CALL_TIME + longest_hold());
+    assert!(took < timing::CONFIRMATION_VALID_FOR + longest_hold());
 }
 
 /// The one that has stopped had not led for long, and the one before it may still renew.
@@ -99,7 +99,7 @@
     let mut play = Play::among(2, 2, first.map.clone(), &[1]);
     let begun = play.now;
     let others_left = Duration::from_secs(5);
-    play.feed(Event::Stopped { leader: leader(1), epoch: Epoch(1), others_left });
+    play.feed(Event::PeerStopped { leader: leader(1), epoch: Epoch(1), others_left });
     play.until(|play| play.keys_of(1) == 0);
     assert!(play.now >= begun + others_left + longest_hold());
 }
@@ -111,11 +111,11 @@
     let first = Play::leading();
     let mut second = Play::among(2, 2, first.map.clone(), &[1]);
     second.run(Duration::from_secs(1));
-    second.feed(Event::Stop);
+    second.feed(Event::ShutdownStarted);
     let mut play = Play::among(2, 3, second.map.clone(), &[1]);
     let begun = play.now;
     play.until(|play| play.keys_of(1) == 0);
-    assert!(play.now >= begun + timing::PROOF + longest_hold());
+    assert!(play.now >= begun + timing::CONFIRMATION_VALID_FOR + longest_hold());
 }
 
 /// The word of a host that was not the one replaced says nothing of the one that was.
@@ -124,16 +124,20 @@
     let first = Play::leading();
     let mut play = Play::among(2, 2, first.map.clone(), &[1]);
     let begun = play.now;
-    play.feed(Event::Stopped { leader: leader(3), epoch: Epoch(1), others_left: Duration::ZERO });
+    play.feed(Event::PeerStopped {
+        leader: leader(3),
+        epoch: Epoch(1),
+        others_left: Duration::ZERO,
+    });
     play.until(|play| play.keys_of(1) == 0);
-    assert!(play.now >= begun + timing::PROOF + longest_hold());
+    assert!(play.now >= begun + timing::CONFIRMATION_VALID_FOR + longest_hold());
 }
 
 /// A host that stops says that it sends nothing any more, and its successor has only the hold to wait for.
 #[test]
 fn a_successor_of_a_host_that_has_stopped_waits_for_the_hold_only() {
     let mut first = Play::leading();
-    first.feed(Event::Stop);
+    first.feed(Event::ShutdownStarted);
     assert_eq!(first.map.as_ref().unwrap().leader, None);
     let mut play = Play::new(2, first.map.clone());
     play.silent.push(server(1, false).id);
@@ -150,7 +154,7 @@
     play.sent.clear();
     play.map = Some(map.clone());
     play.feed(Event::Duty(false));
-    play.feed(Event::Read { asked: play.now, map: Some(map) });
+    play.feed(Event::Read { sent_at: play.now, map: Some(map) });
     play.run(Duration::from_secs(5));
     assert!(play.sent.is_empty() && !play.grantor.leads());
 }
@@ -163,7 +167,7 @@
 fn a_host_that_stops_without_the_store_renews_on() {
     let mut play = Play::leading();
     play.run_without_store(Duration::from_secs(2));
-    play.feed_without_store(Event::Stop);
+    play.feed_without_store(Event::ShutdownStarted);
     let stopped = play.now;
     play.run_without_store(Duration::from_secs(4));
     assert!(play.last_grant_to(1) >= stopped + Duration::from_secs(3), "it renews no more");
@@ -182,19 +186,19 @@
 fn a_host_that_ended_without_the_store_is_not_waited_for() {
     let mut first = Play::leading();
     first.run_without_store(Duration::from_secs(2));
-    first.feed_without_store(Event::Stop);
-    first.feed_without_store(Event::End);
+    first.feed_without_store(Event::ShutdownStarted);
+    first.feed_without_store(Event::Exit);
     assert!(!first.grantor.leads());
     let others_left = first.told[0];
 
     let mut play = Play::waiting(2, first.map.clone(), &[1]);
-    play.feed(Event::Stopped { leader: leader(1), epoch: Epoch(1), others_left });
+    play.feed(Event::PeerStopped { leader: leader(1), epoch: Epoch(1), others_left });
     play.run(Duration::from_secs(2));
     let begun = play.now;
     play.feed(Event::Duty(true));
     play.until(|play| play.keys_of(1) == 0);
     let took = play.now - begun;
-    assert!(took >= longest_hold() - timing::CALL_TAKES, "{took:?}");
+    assert!(took >= longest_hold() - timing::MAX_CALL_TIME, "{took:?}");
     assert!(took < longest_hold() + Duration::from_secs(2), "{took:?}");
 }
 
@@ -209,12 +213,16 @@
     map.begin_epoch(leader(1));
     map.rivals.clear();
     let mut play = Play::waiting(2, Some(map), &[1]);
-    play.feed(Event::Stopped { leader: leader(1), epoch: Epoch(1), others_left: Duration::ZERO });
+    play.feed(Event::PeerStopped {
+        leader: leader(1),
+        epoch: Epoch(1),
+        others_left: Duration::ZERO,
+    });
     play.run(Duration::from_secs(2));
     let begun = play.now;
     play.feed(Event::Duty(true));
     play.until(|play| play.keys_of(1) == 0);
-    assert!(play.now >= begun + timing::PROOF + longest_hold());
+    assert!(play.now >= begun + timing::CONFIRMATION_VALID_FOR + longest_hold());
 }
 
 /// Two servers run orders for the same key. A server is granted keys under a token below that of another which still has them.
@@ -234,17 +242,17 @@
     assert!(play.resigned);
     play.feed_without_store(Event::NotRecorded);
     play.silent.clear();
-    play.now += timing::REST + Duration::from_secs(1);
+    play.now += timing::RESIGN_COOLDOWN + Duration::from_secs(1);
     play.feed_without_store(Event::Duty(true));
     play.feed_without_store(Event::Tick);
 
     play.sent.clear();
-    play.feed_without_store(Event::Read { asked: play.now, map: Some(before.clone()) });
+    play.feed_without_store(Event::Read { sent_at: play.now, map: Some(before.clone()) });
     play.run_without_store(Duration::from_secs(1));
     assert!(!play.grantor.leads(), "it leads by a record of before");
     assert_eq!(play.sent.len(), 0);
 
-    play.feed(Event::Recorded { asked: play.now });
+    play.feed(Event::Recorded { sent_at: play.now });
     play.run(Duration::from_secs(1));
     assert!(play.grantor.leads());
     let epoch = play.grantor.map().unwrap().epoch;
@@ -269,9 +277,9 @@
     newer.begin_epoch(leader(3));
 
     play.feed_without_store(Event::Duty(false));
-    play.feed_without_store(Event::Read { asked: play.now, map: Some(newer.clone()) });
+    play.feed_without_store(Event::Read { sent_at: play.now, map: Some(newer.clone()) });
     play.map = Some(newer);
-    play.feed(Event::Recorded { asked: play.now });
+    play.feed(Event::Recorded { sent_at: play.now });
     play.run(Duration::from_secs(1));
     assert!(!play.grantor.leads(), "it leads though it was replaced");
     assert_eq!((play.sent.len(), play.records.len()), (0, 0));
--- a/crates/jacinthbeam-range/tests/world/host.rs
+++ b/crates/jacinthbeam-range/tests/world/host.rs
@@ -3,8 +3,8 @@
 use std::time::{Duration, Instant};
 
 use jacinthbeam_range::{
-    Event, Grantor, Leader, Map, Order,
-    grantor::{Call, NoAnswer, View},
+    Action, Event, Grantor, Leader, Map,
+    grantor::{NoAnswer, RangeGrant, View},
 };
 use jacinthbeam_types::prelude::*;
 
@@ -93,12 +93,12 @@
         let Some(ends_at) = self.hosts[n].ends_at else { return };
         if !std::mem::replace(&mut self.hosts[n].told_stop, true) {
             self.tell(format!("h{n} is told to stop"));
-            self.feed(n, Event::Stop);
+            self.feed(n, Event::ShutdownStarted);
         }
         if self.now < ends_at {
             return;
         }
-        self.feed(n, Event::End);
+        self.feed(n, Event::Exit);
         self.tell(format!("h{n} ends"));
         self.lives += 1;
         let me = Leader {
@@ -113,7 +113,7 @@
             if let Message::Grant { host, round, life, arrived: true } = message
                 && *host == n
             {
-                let Call { range, token, .. } = round.calls[round.next].clone();
+                let RangeGrant { range, token, .. } = round.calls[round.next].clone();
                 *message = Message::Orphan { to: round.to.addr, life: *life, range, token };
             }
         }
@@ -150,32 +150,32 @@
 
     pub(super) fn feed(&mut self, n: usize, event: Event) {
         let listed = self.listed();
-        let view = View { now: self.now, servers: &listed, settled: true };
+        let view = View { now: self.now, servers: &listed, servers_stable: true };
         let led = self.hosts[n].grantor.leads();
-        let orders = self.hosts[n].grantor.step(view, event);
+        let actions = self.hosts[n].grantor.step(view, event);
         let leads = self.hosts[n].grantor.leads();
         if led != leads {
             self.tell(format!("h{n} leads: {leads}"));
         }
-        for order in orders {
-            self.carry_out(n, order);
+        for action in actions {
+            self.carry_out(n, action);
         }
     }
 
-    fn carry_out(&mut self, n: usize, order: Order) {
+    fn carry_out(&mut self, n: usize, action: Action) {
         let asked = self.now;
-        match order {
-            Order::Record(map) => {
+        match action {
+            Action::Record(map) => {
                 let at = self.hosts[n].end;
                 let after = self.store_way();
                 self.tell(format!("h{n} records {}.{} at {at}", map.epoch, map.version));
                 self.send(after, Message::Append { host: n, at, map, asked });
             }
-            Order::Check if self.has_store(n) => {
+            Action::Check if self.has_store(n) => {
                 let (end, after) = (self.log.len(), self.store_way());
                 self.send(after, Message::Checked { host: n, asked, end });
             }
-            Order::Grant { to, calls, over, until } => {
+            Action::Grant { to, grants: calls, connection: over, until } => {
                 let epoch = self.hosts[n].epoch().expect("only a host that leads grants");
                 let round = Round {
                     to,
@@ -190,7 +190,7 @@
                 };
                 self.send(Duration::ZERO, Message::Round { host: n, round });
             }
-            Order::Release { from, range, token } => {
+            Action::Release { from, range, token } => {
                 let after = self.short();
                 let odds = self.odds.lost_release;
                 let (lost, answered) = (self.chance(odds), !self.chance(odds));
@@ -209,7 +209,7 @@
                     self.send(after, release);
                 }
             }
-            Order::TellStopped { to, epoch, others_left } => {
+            Action::NotifySuccessor { to, epoch, others_left } => {
                 let leader = self.hosts[n].me.clone();
                 let to = (0..self.hosts.len()).find(|n| self.hosts[*n].me == to);
                 let after = self.store_way();
@@ -217,7 +217,7 @@
                     self.send(after, Message::Stopped { to, leader, epoch, others_left });
                 }
             }
-            Order::Announce { epoch, others_left } => {
+            Action::BroadcastStopped { epoch, others_left } => {
                 let leader = self.hosts[n].me.clone();
                 for to in (0..self.hosts.len()).filter(|to| *to != n) {
                     let after = self.store_way();
@@ -227,7 +227,7 @@
                     }
                 }
             }
-            Order::Check | Order::Resign => {}
+            Action::Check | Action::Resign => {}
         }
     }
 
@@ -256,13 +256,13 @@
             Message::Checked { host, asked, end } => {
                 if end == self.hosts[host].end {
                     let map = self.hosts[host].newest.clone().map(|(_, map)| map);
-                    self.feed(host, Event::Read { asked, map });
+                    self.feed(host, Event::Read { sent_at: asked, map });
                 }
             }
             Message::Stopped { to, leader, epoch, others_left } => {
-                self.feed(to, Event::Stopped { leader, epoch, others_left });
+                self.feed(to, Event::PeerStopped { leader, epoch, others_left });
             }
-            Message::Heard { to, map } => self.feed(to, Event::Heard(map)),
+            Message::Heard { to, map } => self.feed(to, Event::PeerMap(map)),
             Message::Round { host, round } => self.on_round(host, round),
             Message::Grant { host, round, life, arrived } => {
                 self.on_grant(host, round, life, arrived);
@@ -315,7 +315,7 @@
         if host.newest.as_ref().is_none_or(|(offset, _)| *offset < at) {
             host.newest = Some((at, map));
         }
-        self.feed(n, Event::Recorded { asked });
+        self.feed(n, Event::Recorded { sent_at: asked });
     }
 
     fn on_read(&mut self, n: usize, asked: Instant, end: usize, map: Option<Map>) {
@@ -326,6 +326,6 @@
             host.newest = Some((end - 1, map));
         }
         let map = self.hosts[n].newest.clone().map(|(_, map)| map);
-        self.feed(n, Event::Read { asked, map });
+        self.feed(n, Event::Read { sent_at: asked, map });
     }
 }
