--- a/crates/jacinthbeam-host/src/process/status.rs
+++ b/crates/jacinthbeam-host/src/process/status.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, net::IpAddr, time::Instant};
 
 use jacinthbeam_crash::suspects::Suspect;
-use jacinthbeam_range::key::KEYS;
+use jacinthbeam_range::key::KEY_COUNT;
 use jacinthbeam_types::prelude::*;
 use serde::{Deserialize, Serialize};
 
@@ -76,7 +76,7 @@
     pub fn unowned(&self) -> u32 {
         match &self.keys {
             Keys::Shared => 0,
-            Keys::Unknown => KEYS,
+            Keys::Unknown => KEY_COUNT,
             Keys::Owned(owners) => owners.unowned,
         }
     }
--- a/crates/jacinthbeam-host/tests/status.rs
+++ b/crates/jacinthbeam-host/tests/status.rs
@@ -6,7 +6,7 @@
     process::status::{Keys, services},
     version::View,
 };
-use jacinthbeam_range::{Map, key::KEYS};
+use jacinthbeam_range::{Map, key::KEY_COUNT};
 use jacinthbeam_route::{Config, config};
 use jacinthbeam_types::prelude::*;
 
@@ -34,7 +34,7 @@
 #[test]
 fn owners_that_were_not_read_yet_are_missing() {
     let found = &services(&view(true))[&name("tiles")];
-    assert_eq!((&found.keys, found.unowned()), (&Keys::Unknown, KEYS));
+    assert_eq!((&found.keys, found.unowned()), (&Keys::Unknown, KEY_COUNT));
 }
 
 #[test]
@@ -49,5 +49,5 @@
     view.maps.insert(name("tiles"), Arc::new(Map::unowned()));
     let found = &services(&view)[&name("tiles")];
     assert!(matches!(found.keys, Keys::Owned(_)), "{found:?}");
-    assert_eq!(found.unowned(), KEYS);
+    assert_eq!(found.unowned(), KEY_COUNT);
 }
--- a/crates/jacinthbeam-measure/src/deployment/mod.rs
+++ b/crates/jacinthbeam-measure/src/deployment/mod.rs
@@ -313,7 +313,7 @@
         for (service, _) in keyed {
             let of = self.servers.iter().filter(|server| server.options.service == *service);
             let held: u32 = of.flat_map(|server| server.holds()).map(|(r, _)| r.width()).sum();
-            if held < jacinthbeam::range::key::KEYS {
+            if held < jacinthbeam::range::key::KEY_COUNT {
                 return Some(format!("{held} keys of {service} have an owner"));
             }
         }
--- a/crates/jacinthbeam-range/src/balance.rs
+++ b/crates/jacinthbeam-range/src/balance.rs
@@ -262,13 +262,13 @@
     for (key, count) in rates.keys(range) {
         if load > 0.0 && load + count > most {
             let piece = KeyRange { first, last: Key(key.0 - 1) };
-            cut.extend(piece.cut(piece.width().div_ceil(widest)));
+            cut.extend(piece.split_evenly(piece.width().div_ceil(widest)));
             (first, load) = (key, 0.0);
         }
         load += count;
     }
     let piece = KeyRange { first, last: range.last };
-    cut.extend(piece.cut(piece.width().div_ceil(widest)));
+    cut.extend(piece.split_evenly(piece.width().div_ceil(widest)));
     cut
 }
 
--- a/crates/jacinthbeam-range/src/grantor/mod.rs
+++ b/crates/jacinthbeam-range/src/grantor/mod.rs
@@ -291,7 +291,7 @@
         let slots: u32 = servers.iter().map(|server| server.slots).sum();
         let mut below = 0;
         for server in &servers {
-            let at = |slots_below: u32| crate::key::KEYS * slots_below / slots;
+            let at = |slots_below: u32| crate::key::KEY_COUNT * slots_below / slots;
             let (first, end) = (at(below), at(below + server.slots));
             below += server.slots;
             let Some(range) = KeyRange::new(first as u16, end.saturating_sub(1) as u16) else {
--- a/crates/jacinthbeam-range/src/key.rs
+++ b/crates/jacinthbeam-range/src/key.rs
@@ -32,7 +32,7 @@
 }
 
 /// Number of keys that a service has.
-pub const KEYS: u32 = 1 << 16;
+pub const KEY_COUNT: u32 = 1 << 16;
 
 impl KeyRange {
     /// Every key.
@@ -74,7 +74,7 @@
     }
 
     /// Cuts the range into at most `pieces` ranges whose widths differ by one at the most.
-    pub fn cut(self, pieces: u32) -> Vec<Self> {
+    pub fn split_evenly(self, pieces: u32) -> Vec<Self> {
         let pieces = pieces.clamp(1, self.width());
         let at = |n: u32| u32::from(self.first.0) + (self.width() * n) / pieces;
         (0..pieces)
--- a/crates/jacinthbeam-range/src/map.rs
+++ b/crates/jacinthbeam-range/src/map.rs
@@ -9,7 +9,7 @@
 
 pub use changes::{Changes, Revision};
 
-use crate::key::{KEYS, Key, KeyRange};
+use crate::key::{KEY_COUNT, Key, KeyRange};
 
 /// A life of a backend server that owns keys.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -243,6 +243,6 @@
             }
             next = u32::from(held.range.last.0) + 1;
         }
-        next == KEYS
+        next == KEY_COUNT
     }
 }
--- a/crates/jacinthbeam-range/tests/grantor/cost.rs
+++ b/crates/jacinthbeam-range/tests/grantor/cost.rs
@@ -50,7 +50,7 @@
     const RANGES: u32 = 1100;
     const OWNERS: u32 = 181;
     let mut map = Map::unowned();
-    for (n, range) in (0..).zip(KeyRange::ALL.cut(RANGES)) {
+    for (n, range) in (0..).zip(KeyRange::ALL.split_evenly(RANGES)) {
         let server = server((n % OWNERS) as u16 + 1, false);
         let owner = Owner { server: server.id, addr: server.addr };
         map.assign(range, Some(owner), Token(n.into()), None);
--- a/crates/jacinthbeam-range/tests/grantor/store.rs
+++ b/crates/jacinthbeam-range/tests/grantor/store.rs
@@ -191,7 +191,7 @@
     }
     play.run(Duration::from_secs(2));
     let mut first = Map::unowned();
-    for (n, range) in KeyRange::ALL.cut(6).into_iter().enumerate() {
+    for (n, range) in KeyRange::ALL.split_evenly(6).into_iter().enumerate() {
         let server = server(n as u16 + 1, false);
         let owner = jacinthbeam_range::Owner { server: server.id, addr: server.addr };
         first.assign(range, Some(owner), Token(0), None);
--- a/crates/jacinthbeam-range/tests/grantor/takeover.rs
+++ b/crates/jacinthbeam-range/tests/grantor/takeover.rs
@@ -62,7 +62,7 @@
     first.run(Duration::from_secs(2));
     let mut map = first.map.clone().unwrap();
     map.begin_epoch(leader(2));
-    for (n, range) in KeyRange::ALL.cut(3).into_iter().enumerate() {
+    for (n, range) in KeyRange::ALL.split_evenly(3).into_iter().enumerate() {
         let server = server(n as u16 + 3, false);
         let owner = jacinthbeam_range::Owner { server: server.id, addr: server.addr };
         map.assign(range, Some(owner), map.first_token(), None);
--- a/crates/jacinthbeam-range/tests/load.rs
+++ b/crates/jacinthbeam-range/tests/load.rs
@@ -27,7 +27,7 @@
 /// Twenty owners with the same number of keys each.
 fn even() -> Map {
     let mut map = Map::unowned();
-    for (n, range) in KeyRange::ALL.cut(OWNERS).into_iter().enumerate() {
+    for (n, range) in KeyRange::ALL.split_evenly(OWNERS).into_iter().enumerate() {
         map.assign(range, Some(owner(n as u32)), Token(1), None);
     }
     map
--- a/crates/jacinthbeam-range/tests/map.rs
+++ b/crates/jacinthbeam-range/tests/map.rs
@@ -70,7 +70,7 @@
         incarnation: Incarnation(1),
         addr: "127.0.0.1:1".parse().unwrap(),
     });
-    for (n, range) in KeyRange::ALL.cut(2500).into_iter().enumerate() {
+    for (n, range) in KeyRange::ALL.split_evenly(2500).into_iter().enumerate() {
         map.assign(range, Some(owner((n % 200) as u8)), Token(n as u64), None);
     }
     let mut next = map.clone();
--- a/crates/jacinthbeam-range/tests/onset.rs
+++ b/crates/jacinthbeam-range/tests/onset.rs
@@ -84,7 +84,7 @@
         });
         let candidates = candidates.collect();
         let mut map = Map::unowned();
-        for (n, range) in KeyRange::ALL.cut(load.owners).into_iter().enumerate() {
+        for (n, range) in KeyRange::ALL.split_evenly(load.owners).into_iter().enumerate() {
             map.assign(range, Some(owner(n as u32)), Token(1), None);
         }
         Self {
