--- a/crates/jacinthbeam-host/src/process/control/granting.rs
+++ b/crates/jacinthbeam-host/src/process/control/granting.rs
@@ -299,7 +299,7 @@
         let Some(partition) = self.partitions.get(&number) else { return };
         let (lane, at) = (partition.lane.clone(), partition.end);
         let (service, value) = (service.clone(), Bytes::from(map.to_bytes()));
-        tracing::info!(part = "maps", event = "record", service = %service, epoch = %map.epoch, version = %map.version, at = %at, ranges = %map.held().len(), bytes = %value.len());
+        tracing::info!(part = "maps", event = "record", service = %service, epoch = %map.epoch, version = %map.version, at = %at, ranges = %map.assignments().len(), bytes = %value.len());
         let to = Partition { topic: self.wire.places.maps.into(), number };
         let (clock, tx) = (self.clock.clone(), self.tx.clone());
         spawn_local(async move {
--- a/crates/jacinthbeam-host/src/process/status.rs
+++ b/crates/jacinthbeam-host/src/process/status.rs
@@ -143,7 +143,7 @@
         epoch: map.epoch,
         version: map.version,
         leader: map.leader.as_ref().map(|leader| leader.host.clone()),
-        ranges: map.held().len(),
+        ranges: map.assignments().len(),
         unowned: map.unowned_keys(),
     })
 }
--- a/crates/jacinthbeam-host/src/process/traffic.rs
+++ b/crates/jacinthbeam-host/src/process/traffic.rs
@@ -237,7 +237,7 @@
         let servers = self.servers.borrow();
         let mut reports = self.reports.borrow_mut();
         for (service, map) in &view.maps {
-            let owners = map.held().iter().filter_map(|held| held.owner.as_ref());
+            let owners = map.assignments().iter().filter_map(|held| held.owner.as_ref());
             for owner in owners {
                 let Some(state) = servers.get(&owner.server) else { continue };
                 let in_flight = state.seen.borrow().in_flight();
--- a/crates/jacinthbeam-range/src/balance.rs
+++ b/crates/jacinthbeam-range/src/balance.rs
@@ -84,7 +84,7 @@
         let places: BTreeMap<&ServerId, At> =
             candidates.iter().enumerate().map(|(at, c)| (&c.owner.server, at)).collect();
         let mut held = vec![Vec::new(); candidates.len()];
-        for of in map.held() {
+        for of in map.assignments() {
             let owner = of.owner.as_ref().and_then(|owner| places.get(&owner.server));
             if let Some(at) = owner {
                 held[*at].push(of.range);
@@ -165,7 +165,7 @@
 /// Requests for the busiest owner's keys over the mean of all owners. `None` while nothing is asked.
 pub fn imbalance(map: &Map, rates: &Rates) -> Option<f64> {
     let mut load: BTreeMap<&ServerId, f64> = BTreeMap::new();
-    for held in map.held() {
+    for held in map.assignments() {
         let Some(owner) = &held.owner else { continue };
         *load.entry(&owner.server).or_default() += rates.of(held.range);
     }
--- a/crates/jacinthbeam-range/src/demand/rates.rs
+++ b/crates/jacinthbeam-range/src/demand/rates.rs
@@ -58,7 +58,7 @@
             return Self { keys: counts.iter().map(|(key, count)| (*key, count.steady)).collect() };
         };
         let mut keys = BTreeMap::new();
-        for held in map.held() {
+        for held in map.assignments() {
             let inside = || counts.range(held.range.first..=held.range.last);
             let all = inside().fold(Count::default(), |sum, (_, count)| sum + *count);
             let changed = now.differs(all);
--- a/crates/jacinthbeam-range/src/grantor/leading/majority.rs
+++ b/crates/jacinthbeam-range/src/grantor/leading/majority.rs
@@ -15,7 +15,7 @@
 use super::Leading;
 use crate::{
     grantor::timing::{CALL_TAKES, MAJORITY_LASTS, MARGIN, PROOF},
-    map::{Held, Map},
+    map::{Assignment, Map},
 };
 
 /// How a leader learns that nobody before it can renew any more.
@@ -59,7 +59,7 @@
     }
 
     fn majority_of(&self, map: &Map) -> Option<Instant> {
-        let servers = map.held().iter().filter_map(|held| held.owner.as_ref());
+        let servers = map.assignments().iter().filter_map(|held| held.owner.as_ref());
         let owners: BTreeSet<&ServerId> = servers.map(|owner| &owner.server).collect();
         let taken = |id: &&ServerId| self.contacts.get(*id).and_then(|contact| contact.took_at());
         let mut times: Vec<Instant> = owners.iter().filter_map(taken).collect();
@@ -99,7 +99,7 @@
     fn refuses_others(&self, id: &ServerId) -> bool {
         self.lives(id).any(|contact| {
             let mut held = self.map.of_server(&contact.owner.server).peekable();
-            let confirmed = |held: &Held| contact.has_confirmed(held.range, held.token);
+            let confirmed = |held: &Assignment| contact.has_confirmed(held.range, held.token);
             contact.ended || held.peek().is_some() && held.all(confirmed)
         })
     }
--- a/crates/jacinthbeam-range/src/grantor/leading/mod.rs
+++ b/crates/jacinthbeam-range/src/grantor/leading/mod.rs
@@ -178,7 +178,7 @@
         refused: Vec<KeyRange>,
     ) {
         if let Some(contact) = self.contacts.get_mut(server) {
-            let pause = renew_every(self.map.held().len());
+            let pause = renew_every(self.map.assignments().len());
             contact.on_round(now, outcome, last_call, confirmed, !refused.is_empty(), pause);
             if let Outcome::Opened(at) = outcome {
                 let token = &mut self.token;
@@ -262,7 +262,7 @@
     fn meet_owners(&mut self) {
         let new: BTreeSet<Owner> = self
             .map
-            .held()
+            .assignments()
             .iter()
             .filter_map(|held| held.owner.as_ref())
             .filter(|owner| !self.contacts.contains_key(&owner.server))
@@ -271,7 +271,7 @@
         for owner in new {
             self.meet(owner);
         }
-        let owners = self.map.held().iter().filter_map(|held| held.owner.as_ref());
+        let owners = self.map.assignments().iter().filter_map(|held| held.owner.as_ref());
         let moving = self.moves.iter().flat_map(|moving| [&moving.from, &moving.to]);
         let needed: BTreeSet<&ServerId> = owners.chain(moving).map(|owner| &owner.server).collect();
         self.contacts.retain(|id, contact| contact.busy || needed.contains(id));
--- a/crates/jacinthbeam-range/src/grantor/leading/plan.rs
+++ b/crates/jacinthbeam-range/src/grantor/leading/plan.rs
@@ -15,7 +15,7 @@
         timing::{BALANCE_EVERY, moves_at_once, releases_at_once},
     },
     key::KeyRange,
-    map::{Held, Map},
+    map::{Assignment, Map},
 };
 
 impl Leading {
@@ -24,7 +24,7 @@
         let candidates = candidates(self, view, service);
         let leaving: Vec<KeyRange> = self
             .map
-            .held()
+            .assignments()
             .iter()
             .filter(|held| self.is_leaving(held, view.servers) && !self.is_moving(held.range))
             .map(|held| held.range)
@@ -79,7 +79,7 @@
     }
 
     /// Whether the owner can still be asked to give the range up, and should be.
-    pub(super) fn is_leaving(&self, held: &Held, servers: &Servers) -> bool {
+    pub(super) fn is_leaving(&self, held: &Assignment, servers: &Servers) -> bool {
         let Some(owner) = &held.owner else { return false };
         let id = &owner.server;
         if servers.takes_work(id) || !self.is_usable(id) {
--- a/crates/jacinthbeam-range/src/grantor/leading/record.rs
+++ b/crates/jacinthbeam-range/src/grantor/leading/record.rs
@@ -15,7 +15,7 @@
         timing::RANGES_PER_OWNER,
     },
     key::KeyRange,
-    map::{Held, Map, Owner},
+    map::{Assignment, Map, Owner},
 };
 
 impl Leading {
@@ -46,7 +46,7 @@
     fn may_have_news(&self, view: View<'_>) -> bool {
         let is_free = |moving: &Moving| matches!(moving.stage, Stage::Free(_));
         let is_lost = |contact: &Contact| contact.given_up || contact.ended;
-        let has_unowned = || self.map.held().iter().any(|held| held.owner.is_none());
+        let has_unowned = || self.map.assignments().iter().any(|held| held.owner.is_none());
         let has_successor = |id: &ServerId| view.servers.successor_of(id).is_some();
         !self.refused.is_empty()
             || !self.doubtful.is_empty()
@@ -137,7 +137,7 @@
         }
         let token = self.next_token();
         for range in open {
-            let Held { owner, .. } = map.of(range.first).clone();
+            let Assignment { owner, .. } = map.of(range.first).clone();
             if map.of(range.first).range.covers(range) {
                 map.assign(range, owner, token, None);
             }
@@ -148,16 +148,17 @@
     /// Joins neighbouring ranges of one owner under a new token, once there are many ranges.
     pub(super) fn join(&mut self, map: &mut Map) {
         map.join_neighbours();
-        if map.held().len() <= RANGES_PER_OWNER * self.contacts.len() {
+        if map.assignments().len() <= RANGES_PER_OWNER * self.contacts.len() {
             return;
         }
         for range in map.mergeable() {
             let owner = map.of(range.first).owner.clone();
-            let steady = map.held().iter().filter(|held| range.covers(held.range)).all(|held| {
-                let id = held.owner.as_ref().map(|owner| &owner.server);
-                let contact = id.and_then(|id| self.contacts.get(id));
-                contact.is_some_and(|c| c.has_confirmed(held.range, held.token))
-            });
+            let steady =
+                map.assignments().iter().filter(|held| range.covers(held.range)).all(|held| {
+                    let id = held.owner.as_ref().map(|owner| &owner.server);
+                    let contact = id.and_then(|id| self.contacts.get(id));
+                    contact.is_some_and(|c| c.has_confirmed(held.range, held.token))
+                });
             if !steady || self.is_moving(range) {
                 continue;
             }
@@ -168,14 +169,14 @@
 
     /// Ranges of lost servers whose holds have run out. Nobody has them.
     pub(super) fn lapsed(&self, now: Instant) -> Vec<KeyRange> {
-        let free = |held: &&Held| {
+        let free = |held: &&Assignment| {
             let Some(owner) = &held.owner else { return true };
             self.contacts.get(&owner.server).is_some_and(|contact| {
                 let lost = contact.given_up || contact.ended;
                 lost && contact.has_lapsed(now, self.others_until)
             })
         };
-        let ranges = self.map.held().iter().filter(free).map(|held| held.range);
+        let ranges = self.map.assignments().iter().filter(free).map(|held| held.range);
         ranges.filter(|range| !self.is_moving(*range)).collect()
     }
 }
--- a/crates/jacinthbeam-range/src/grantor/leading/renew.rs
+++ b/crates/jacinthbeam-range/src/grantor/leading/renew.rs
@@ -9,7 +9,7 @@
     balance,
     grantor::{Call, Order, contact::Contact},
     key::KeyRange,
-    map::Held,
+    map::Assignment,
 };
 
 impl Leading {
@@ -26,8 +26,8 @@
         if now >= until {
             return Vec::new();
         }
-        let mut of_owner: BTreeMap<&ServerId, Vec<&Held>> = BTreeMap::new();
-        for held in self.map.held() {
+        let mut of_owner: BTreeMap<&ServerId, Vec<&Assignment>> = BTreeMap::new();
+        for held in self.map.assignments() {
             if let Some(owner) = &held.owner {
                 of_owner.entry(&owner.server).or_default().push(held);
             }
@@ -44,7 +44,7 @@
         if !self.contacts.get(server).is_some_and(|contact| self.may_begin(contact)) {
             return None;
         }
-        let held: Vec<&Held> = self.map.of_server(server).collect();
+        let held: Vec<&Assignment> = self.map.of_server(server).collect();
         let (_, calls) = self.round(server, &held, now)?;
         let until = self.right_until();
         if now >= until {
@@ -57,7 +57,7 @@
     fn round(
         &self,
         server: &ServerId,
-        held: &[&Held],
+        held: &[&Assignment],
         now: Instant,
     ) -> Option<(ServerId, Vec<Call>)> {
         let calls = self.calls(self.contacts.get(server)?, held, now);
@@ -78,7 +78,7 @@
     }
 
     /// What to grant to one server now: all its ranges if a renewal is due, else those it has not confirmed.
-    pub(super) fn calls(&self, contact: &Contact, held: &[&Held], now: Instant) -> Vec<Call> {
+    pub(super) fn calls(&self, contact: &Contact, held: &[&Assignment], now: Instant) -> Vec<Call> {
         if !self.may_begin(contact) {
             return Vec::new();
         }
--- a/crates/jacinthbeam-range/src/lib.rs
+++ b/crates/jacinthbeam-range/src/lib.rs
@@ -16,4 +16,4 @@
 
 pub use grantor::{Event, Grantor, Order};
 pub use key::{Key, KeyRange};
-pub use map::{Held, Leader, Map, Owner};
+pub use map::{Assignment, Leader, Map, Owner};
--- a/crates/jacinthbeam-range/src/map.rs
+++ b/crates/jacinthbeam-range/src/map.rs
@@ -22,7 +22,7 @@
 
 /// One range and its owner.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Held {
+pub struct Assignment {
     /// The keys.
     pub range: KeyRange,
     /// `None` while nobody may hold them.
@@ -55,7 +55,7 @@
     pub version: u32,
     /// For each leader of an earlier epoch that may still renew, the owners of its last map. Empty once nobody can.
     pub rivals: Vec<BTreeSet<ServerId>>,
-    held: Vec<Held>,
+    held: Vec<Assignment>,
 }
 
 /// Tokens of one epoch. A leader that gives out ten a second would need a day for them.
@@ -87,24 +87,25 @@
     /// A map in which nobody owns anything.
     pub fn unowned() -> Self {
         let token = Token(0);
-        let all = Held { range: KeyRange::ALL, owner: None, token, handover: None };
+        let all = Assignment { range: KeyRange::ALL, owner: None, token, handover: None };
         Self { epoch: Epoch(0), leader: None, version: 0, rivals: Vec::new(), held: vec![all] }
     }
 
     /// The ranges in ascending order.
-    pub fn held(&self) -> &[Held] {
+    pub fn assignments(&self) -> &[Assignment] {
         &self.held
     }
 
     /// The range that `key` lies in.
-    pub fn of(&self, key: Key) -> &Held {
+    pub fn of(&self, key: Key) -> &Assignment {
         let after = self.held.partition_point(|held| held.range.first <= key);
         &self.held[after - 1]
     }
 
     /// The ranges of one owner.
-    pub fn of_server<'a>(&'a self, server: &'a ServerId) -> impl Iterator<Item = &'a Held> {
-        let owns = move |held: &&Held| held.owner.as_ref().is_some_and(|o| o.server == *server);
+    pub fn of_server<'a>(&'a self, server: &'a ServerId) -> impl Iterator<Item = &'a Assignment> {
+        let owns =
+            move |held: &&Assignment| held.owner.as_ref().is_some_and(|o| o.server == *server);
         self.held.iter().filter(owns)
     }
 
@@ -175,7 +176,7 @@
         handover: Option<String>,
     ) {
         let mut next = Vec::with_capacity(self.held.len() + 2);
-        let mut new = Some(Held { range, owner, token, handover });
+        let mut new = Some(Assignment { range, owner, token, handover });
         for held in self.held.drain(..) {
             if !held.range.overlaps(range) {
                 if held.range.first > range.last {
@@ -184,10 +185,12 @@
                 next.push(held);
                 continue;
             }
-            next.extend(held.range.below(range).map(|rest| Held { range: rest, ..held.clone() }));
+            next.extend(
+                held.range.below(range).map(|rest| Assignment { range: rest, ..held.clone() }),
+            );
             if let Some(rest) = held.range.above(range) {
                 next.extend(new.take());
-                next.push(Held { range: rest, ..held });
+                next.push(Assignment { range: rest, ..held });
             }
         }
         next.extend(new);
--- a/crates/jacinthbeam-range/src/map/changes.rs
+++ b/crates/jacinthbeam-range/src/map/changes.rs
@@ -8,7 +8,7 @@
 use jacinthbeam_types::prelude::*;
 use serde::{Deserialize, Serialize};
 
-use super::{Held, Leader, Map};
+use super::{Assignment, Leader, Map};
 use crate::key::KeyRange;
 
 /// Epoch and version of a map. No two maps of a log share one, and later ones have higher ones.
@@ -24,7 +24,7 @@
     leader: Option<Leader>,
     rivals: Vec<BTreeSet<ServerId>>,
     /// Ranges of the later map, ascending. Each range of the earlier one that they overlap lies in them whole.
-    held: Vec<Held>,
+    held: Vec<Assignment>,
 }
 
 impl Map {
--- a/crates/jacinthbeam-range/tests/load.rs
+++ b/crates/jacinthbeam-range/tests/load.rs
@@ -51,8 +51,9 @@
 }
 
 fn width(map: &Map, was: &Map) -> u32 {
-    let moved = |held: &&jacinthbeam_range::Held| was.of(held.range.first).owner != held.owner;
-    map.held().iter().filter(moved).map(|held| held.range.width()).sum()
+    let moved =
+        |held: &&jacinthbeam_range::Assignment| was.of(held.range.first).owner != held.owner;
+    map.assignments().iter().filter(moved).map(|held| held.range.width()).sum()
 }
 
 /// An even division gives the hot keys to one owner, which has seven times the mean. Narrow windows of them are enough to
@@ -290,7 +291,7 @@
 #[test]
 fn what_a_server_leaves_is_cut_less_among_many() {
     let (map, demand) = (even(), hot(20_000));
-    let held = map.held().iter().max_by_key(|held| held.range.width()).unwrap();
+    let held = map.assignments().iter().max_by_key(|held| held.range.width()).unwrap();
     let pieces = |owners| {
         let others = candidates(1..owners);
         place(&map, &demand.rates(&map), &others, &[held.range]).len()
