--- a/crates/jacinthbeam-host/src/request/end.rs
+++ b/crates/jacinthbeam-host/src/request/end.rs
@@ -54,7 +54,7 @@
 fn basis(job: &Job, tried: usize) -> Basis<'_> {
     let key = job.key.filter(|_| job.keyed);
     let view = job.traffic.view();
-    let owner = key.and_then(|key| view.maps.get(&job.service)?.of(key).owner.clone());
+    let owner = key.and_then(|key| view.maps.get(&job.service)?.lookup(key).owner.clone());
     let owner = owner.map(|owner| owner.server);
     Basis {
         service: Some(&job.service),
--- a/crates/jacinthbeam-host/src/request/job.rs
+++ b/crates/jacinthbeam-host/src/request/job.rs
@@ -84,7 +84,8 @@
 
     /// Whether the owner of its key is where the request must not go, so that waiting for it is of no use.
     pub(super) fn is_abroad(&self, view: &View) -> bool {
-        let owner = self.key.and_then(|key| view.maps.get(&self.service)?.of(key).owner.as_ref());
+        let owner =
+            self.key.and_then(|key| view.maps.get(&self.service)?.lookup(key).owner.as_ref());
         let server = owner.and_then(|owner| view.servers.get(&owner.server));
         server.is_some_and(|server| !self.is_home(server))
     }
--- a/crates/jacinthbeam-host/src/request/pick.rs
+++ b/crates/jacinthbeam-host/src/request/pick.rs
@@ -48,7 +48,7 @@
 }
 
 fn owner(job: &Job, view: &View, grace: Grace, now: Instant) -> Option<Server> {
-    let owner = view.maps.get(&job.service)?.of(job.key?).owner.clone()?;
+    let owner = view.maps.get(&job.service)?.lookup(job.key?).owner.clone()?;
     let server = view.servers.get(&owner.server)?;
     let state = job.traffic.server(server);
     let may = !state.ended.get()
--- a/crates/jacinthbeam-host/src/request/serve.rs
+++ b/crates/jacinthbeam-host/src/request/serve.rs
@@ -119,7 +119,7 @@
 /// Counts a request for a key, and asks whether its owner may be sent it. One that is asked for more than it can do would
 /// answer this request too late, and the ones after it.
 fn is_let_in(job: &Job, view: &View, key: Key) -> bool {
-    let owner = view.maps.get(&job.service).and_then(|map| map.of(key).owner.clone());
+    let owner = view.maps.get(&job.service).and_then(|map| map.lookup(key).owner.clone());
     let owner = owner.map(|owner| owner.server);
     let rank = job.route.priority;
     job.traffic.on_keyed_request(&job.service, key, owner.as_ref(), rank);
@@ -219,7 +219,7 @@
 /// Waits until the key has another owner or token than in `view`. Returns whether it has.
 async fn await_other_owner(job: &Job, view: &View) -> bool {
     let of = |view: &View| {
-        let held = view.maps.get(&job.service)?.of(job.key?);
+        let held = view.maps.get(&job.service)?.lookup(job.key?);
         Some((held.owner.clone(), held.token))
     };
     let before = of(view);
--- a/crates/jacinthbeam-range/src/grantor/leading/majority.rs
+++ b/crates/jacinthbeam-range/src/grantor/leading/majority.rs
@@ -98,7 +98,7 @@
     /// only if it was there before this leader's first grants ([`Contact::is_proved`](crate::grantor::contact::Contact::is_proved)).
     fn refuses_others(&self, id: &ServerId) -> bool {
         self.lives(id).any(|contact| {
-            let mut held = self.map.of_server(&contact.owner.server).peekable();
+            let mut held = self.map.owned_by(&contact.owner.server).peekable();
             let confirmed = |held: &Assignment| contact.has_confirmed(held.range, held.token);
             contact.ended || held.peek().is_some() && held.all(confirmed)
         })
--- a/crates/jacinthbeam-range/src/grantor/leading/mod.rs
+++ b/crates/jacinthbeam-range/src/grantor/leading/mod.rs
@@ -135,11 +135,11 @@
         self.map = map;
         let map = &self.map;
         self.moves.retain(|moving| {
-            let held = map.of(moving.range.first);
+            let held = map.lookup(moving.range.first);
             held.token < moving.token || held.owner.as_ref() != Some(&moving.to)
         });
         for contact in self.contacts.values_mut() {
-            let held = map.of_server(&contact.owner.server);
+            let held = map.owned_by(&contact.owner.server);
             contact.forget_but(&held.map(|h| (h.range, h.token)).collect::<Vec<_>>());
         }
     }
--- a/crates/jacinthbeam-range/src/grantor/leading/plan.rs
+++ b/crates/jacinthbeam-range/src/grantor/leading/plan.rs
@@ -95,7 +95,7 @@
 
     pub(super) fn start(&mut self, moves: impl Iterator<Item = Move>) {
         for Move { range, to } in moves {
-            let held = self.map.of(range.first);
+            let held = self.map.lookup(range.first);
             let Some(from) = held.owner.clone().filter(|from| *from != to) else { continue };
             let token = self.next_token();
             self.moves.push(Moving { range, from, to, token, stage: Stage::Waiting });
--- a/crates/jacinthbeam-range/src/grantor/leading/record.rs
+++ b/crates/jacinthbeam-range/src/grantor/leading/record.rs
@@ -88,7 +88,7 @@
             let life = servers.successor_of(&id).filter(|life| !life.draining);
             let Some(life) = life else { continue };
             let owner = Owner { server: life.id.clone(), addr: life.addr };
-            let ranges: Vec<KeyRange> = self.map.of_server(&id).map(|held| held.range).collect();
+            let ranges: Vec<KeyRange> = self.map.owned_by(&id).map(|held| held.range).collect();
             let free: Vec<KeyRange> = ranges.into_iter().filter(|r| !self.is_moving(*r)).collect();
             for range in free {
                 map.assign(range, Some(owner.clone()), self.next_token(), None);
@@ -106,7 +106,7 @@
     ) -> bool {
         let mut lapsed = self.lapsed(view.now);
         // These have gone to the present life of their server.
-        lapsed.retain(|range| self.map.of(range.first).owner == map.of(range.first).owner);
+        lapsed.retain(|range| self.map.lookup(range.first).owner == map.lookup(range.first).owner);
         if lapsed.is_empty() {
             return false;
         }
@@ -137,8 +137,8 @@
         }
         let token = self.next_token();
         for range in open {
-            let Assignment { owner, .. } = map.of(range.first).clone();
-            if map.of(range.first).range.covers(range) {
+            let Assignment { owner, .. } = map.lookup(range.first).clone();
+            if map.lookup(range.first).range.covers(range) {
                 map.assign(range, owner, token, None);
             }
         }
@@ -152,7 +152,7 @@
             return;
         }
         for range in map.mergeable() {
-            let owner = map.of(range.first).owner.clone();
+            let owner = map.lookup(range.first).owner.clone();
             let steady =
                 map.assignments().iter().filter(|held| range.covers(held.range)).all(|held| {
                     let id = held.owner.as_ref().map(|owner| &owner.server);
--- a/crates/jacinthbeam-range/src/grantor/leading/renew.rs
+++ b/crates/jacinthbeam-range/src/grantor/leading/renew.rs
@@ -44,7 +44,7 @@
         if !self.contacts.get(server).is_some_and(|contact| self.may_begin(contact)) {
             return None;
         }
-        let held: Vec<&Assignment> = self.map.of_server(server).collect();
+        let held: Vec<&Assignment> = self.map.owned_by(server).collect();
         let (_, calls) = self.round(server, &held, now)?;
         let until = self.right_until();
         if now >= until {
--- a/crates/jacinthbeam-range/src/map.rs
+++ b/crates/jacinthbeam-range/src/map.rs
@@ -97,13 +97,13 @@
     }
 
     /// The range that `key` lies in.
-    pub fn of(&self, key: Key) -> &Assignment {
+    pub fn lookup(&self, key: Key) -> &Assignment {
         let after = self.held.partition_point(|held| held.range.first <= key);
         &self.held[after - 1]
     }
 
     /// The ranges of one owner.
-    pub fn of_server<'a>(&'a self, server: &'a ServerId) -> impl Iterator<Item = &'a Assignment> {
+    pub fn owned_by<'a>(&'a self, server: &'a ServerId) -> impl Iterator<Item = &'a Assignment> {
         let owns =
             move |held: &&Assignment| held.owner.as_ref().is_some_and(|o| o.server == *server);
         self.held.iter().filter(owns)
--- a/crates/jacinthbeam-range/tests/grantor/play.rs
+++ b/crates/jacinthbeam-range/tests/grantor/play.rs
@@ -219,7 +219,7 @@
     pub fn keys_of(&self, n: u16) -> u32 {
         let id = server(n, false).id;
         let map = self.map.as_ref().unwrap();
-        map.of_server(&id).map(|held| held.range.width()).sum()
+        map.owned_by(&id).map(|held| held.range.width()).sum()
     }
 
     pub fn last_grant_to(&self, n: u16) -> Instant {
--- a/crates/jacinthbeam-range/tests/grantor/server.rs
+++ b/crates/jacinthbeam-range/tests/grantor/server.rs
@@ -184,9 +184,9 @@
     let took = play.until(|play| play.keys_of(1) == 0);
     assert!(took <= TICK * 2, "{took:?}");
     let map = play.map.as_ref().unwrap();
-    assert_eq!(map.of_server(&again.id).map(|held| held.range.width()).sum::<u32>(), 32_768);
+    assert_eq!(map.owned_by(&again.id).map(|held| held.range.width()).sum::<u32>(), 32_768);
     assert_eq!(play.keys_of(2), 32_768);
-    let token = |map: &Map, id| map.of_server(id).map(|held| held.token).max();
+    let token = |map: &Map, id| map.owned_by(id).map(|held| held.token).max();
     assert!(token(map, &again.id) > token(&old, &server(1, false).id));
     play.run(Duration::from_secs(5));
     assert!(play.releases.is_empty(), "keys are taken from a life that has ended");
--- a/crates/jacinthbeam-range/tests/load.rs
+++ b/crates/jacinthbeam-range/tests/load.rs
@@ -52,7 +52,7 @@
 
 fn width(map: &Map, was: &Map) -> u32 {
     let moved =
-        |held: &&jacinthbeam_range::Assignment| was.of(held.range.first).owner != held.owner;
+        |held: &&jacinthbeam_range::Assignment| was.lookup(held.range.first).owner != held.owner;
     map.assignments().iter().filter(moved).map(|held| held.range.width()).sum()
 }
 
@@ -96,7 +96,7 @@
 #[test]
 fn a_leaving_owner_s_load_goes_to_many() {
     let (mut map, demand) = (even(), hot(20_000));
-    let leaving = map.of(Key(20_000)).clone();
+    let leaving = map.lookup(Key(20_000)).clone();
     let others: Vec<Candidate> = candidates(0..OWNERS)
         .into_iter()
         .filter(|c| Some(&c.owner) != leaving.owner.as_ref())
@@ -207,7 +207,7 @@
     let mut demand = Demand::default();
     ask(&mut demand, Instant::now(), 8, Some(HOT));
     let (map, mut all) = (even(), candidates(0..OWNERS));
-    let slow = map.of(HOT).owner.clone();
+    let slow = map.lookup(HOT).owner.clone();
     let at = |owner: u32| owner as usize;
     all.iter_mut().for_each(|c| {
         if Some(&c.owner) == slow.as_ref() {
--- a/crates/jacinthbeam-range/tests/map.rs
+++ b/crates/jacinthbeam-range/tests/map.rs
@@ -52,7 +52,7 @@
         let first = step(u, &Map::unowned())?;
         let second = step(u, &first)?;
         let moved = (0..=u16::MAX).map(Key).filter(|key| {
-            let (before, now) = (&first.of(*key).owner, &second.of(*key).owner);
+            let (before, now) = (&first.lookup(*key).owner, &second.lookup(*key).owner);
             before.is_some() && before != now
         });
         assert_eq!(second.moved_since(&first) as usize, moved.count());
--- a/crates/jacinthbeam-range/tests/onset.rs
+++ b/crates/jacinthbeam-range/tests/onset.rs
@@ -139,7 +139,7 @@
     }
 
     fn send(&mut self, key: Key) {
-        let owner = self.map.of(key).owner.as_ref().expect("every key has an owner");
+        let owner = self.map.lookup(key).owner.as_ref().expect("every key has an owner");
         let waiting = self.waiting.entry(owner.server.clone()).or_default();
         if *waiting + 1.0 > ROOM {
             self.refused += 1;
@@ -198,7 +198,8 @@
         let most = moves_at_once(self.candidates.len());
         let moves = relieve(&expected, &rates, &self.candidates, &fixed, most);
         for change in moves {
-            let from = self.map.of(change.range.first).owner.as_ref().expect("every key has one");
+            let from =
+                self.map.lookup(change.range.first).owner.as_ref().expect("every key has one");
             let done = self.now + MOVE_TAKES + self.drains_in(&from.server);
             self.under_way.push((done, change));
         }
@@ -259,7 +260,7 @@
     play.pass(6.0, &[]);
     let hot: Vec<u16> = (20_000..20_200).collect();
     play.pass(2.5, &hot);
-    let owner = |key: &u16| play.map.of(Key(*key)).owner.as_ref().map(|owner| &owner.server);
+    let owner = |key: &u16| play.map.lookup(Key(*key)).owner.as_ref().map(|owner| &owner.server);
     let owners: BTreeSet<_> = hot.iter().filter_map(owner).collect();
     assert!(owners.len() >= hot.len() / 2, "{} owners of {} hot keys", owners.len(), hot.len());
 }
