--- a/crates/jacinthbeam-host/src/process/map_history.rs
+++ b/crates/jacinthbeam-host/src/process/map_history.rs
@@ -4,7 +4,7 @@
 
 use jacinthbeam_range::{
     KeyRange, Map,
-    map::{Changes, Revision},
+    map::{MapDelta, Revision},
 };
 use serde::{Deserialize, Serialize};
 
@@ -18,7 +18,7 @@
     /// All of it.
     Whole(Map),
     /// What differs from the one that the host has.
-    Changes(Changes),
+    Changes(MapDelta),
 }
 
 /// One service's map.
@@ -47,7 +47,7 @@
         if self.newest.epoch != map.epoch {
             self.earlier.clear();
         } else {
-            let changed = map.changed_since(&self.newest);
+            let changed = map.changed_ranges_since(&self.newest);
             self.earlier.push_back((self.newest.revision(), changed));
             if self.earlier.len() > KEPT {
                 self.earlier.pop_front();
@@ -58,8 +58,8 @@
     }
 
     /// Takes what another host tells. Returns whether it is newer.
-    pub(super) fn take_changes(&mut self, changes: &Changes) -> bool {
-        self.newest.with(changes).is_some_and(|map| self.take(map))
+    pub(super) fn take_changes(&mut self, changes: &MapDelta) -> bool {
+        self.newest.apply(changes).is_some_and(|map| self.take(map))
     }
 
     /// What to tell a host that has the map `known`, if that is not the newest.
@@ -70,7 +70,7 @@
         let since = self.earlier.iter().position(|(of, _)| Some(*of) == known);
         let news = match (known, since) {
             (Some(known), Some(at)) => {
-                MapNews::Changes(self.newest.changes(known, &self.changed_from(at)))
+                MapNews::Changes(self.newest.delta(known, &self.changed_from(at)))
             }
             _ => MapNews::Whole((*self.newest).clone()),
         };
--- a/crates/jacinthbeam-range/src/grantor/leading/record.rs
+++ b/crates/jacinthbeam-range/src/grantor/leading/record.rs
@@ -147,7 +147,7 @@
 
     /// Joins neighbouring ranges of one owner under a new token, once there are many ranges.
     pub(super) fn join(&mut self, map: &mut Map) {
-        map.join_neighbours();
+        map.merge_adjacent();
         if map.assignments().len() <= RANGES_PER_OWNER * self.contacts.len() {
             return;
         }
--- a/crates/jacinthbeam-range/src/map.rs
+++ b/crates/jacinthbeam-range/src/map.rs
@@ -1,13 +1,13 @@
 //! Who owns which keys of one service.
 
-mod changes;
+mod delta;
 
 use std::{collections::BTreeSet, fmt, net::SocketAddr};
 
 use jacinthbeam_types::prelude::*;
 use serde::{Deserialize, Serialize};
 
-pub use changes::{Changes, Revision};
+pub use delta::{MapDelta, Revision};
 
 use crate::key::{KEY_COUNT, Key, KeyRange};
 
@@ -164,7 +164,7 @@
         for held in &mut self.held {
             held.token = token;
         }
-        self.join_neighbours();
+        self.merge_adjacent();
     }
 
     /// Gives `range` to `owner` under `token`.
@@ -198,7 +198,7 @@
     }
 
     /// Joins ranges that lie side by side and have the same owner and token, so that one grant serves for both.
-    pub fn join_neighbours(&mut self) {
+    pub fn merge_adjacent(&mut self) {
         self.held.dedup_by(|next, held| {
             let same = held.owner == next.owner && held.token == next.token;
             if same {
--- a/crates/jacinthbeam-range/src/map/changes.rs
+++ b/crates/jacinthbeam-range/src/map/delta.rs
@@ -16,7 +16,7 @@
 
 /// A map, as far as it differs from one that the reader has.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Changes {
+pub struct MapDelta {
     /// The map that they are told against.
     pub from: Revision,
     /// The map that they lead to.
@@ -37,7 +37,7 @@
     ///
     /// Both maps cover each key once, so that these ranges are whole ones of `earlier` too: what is left of a range that was cut is another
     /// range.
-    pub fn changed_since(&self, earlier: &Self) -> Vec<KeyRange> {
+    pub fn changed_ranges_since(&self, earlier: &Self) -> Vec<KeyRange> {
         let mut changed: Vec<KeyRange> = Vec::new();
         let mut old = earlier.held.iter().peekable();
         for held in &self.held {
@@ -56,7 +56,7 @@
     }
 
     /// What to tell somebody who has the map `from`, if `ranges` are all that changed since.
-    pub fn changes(&self, from: Revision, ranges: &[KeyRange]) -> Changes {
+    pub fn delta(&self, from: Revision, ranges: &[KeyRange]) -> MapDelta {
         let mut held = Vec::new();
         let mut next = 0;
         for range in ranges {
@@ -66,17 +66,17 @@
             next = end;
         }
         let (leader, rivals) = (self.leader.clone(), self.rivals.clone());
-        Changes { from, to: self.revision(), leader, rivals, held }
+        MapDelta { from, to: self.revision(), leader, rivals, held }
     }
 
     /// The map that the changes lead to. `None` if they were told against another one, or don't fit.
-    pub fn with(&self, changes: &Changes) -> Option<Self> {
-        if self.revision() != changes.from {
+    pub fn apply(&self, delta: &MapDelta) -> Option<Self> {
+        if self.revision() != delta.from {
             return None;
         }
-        let mut held = Vec::with_capacity(self.held.len() + changes.held.len());
+        let mut held = Vec::with_capacity(self.held.len() + delta.held.len());
         let mut old = self.held.iter().peekable();
-        for new in &changes.held {
+        for new in &delta.held {
             while let Some(before) = old.next_if(|old| old.range.last < new.range.first) {
                 held.push(before.clone());
             }
@@ -84,8 +84,8 @@
             held.push(new.clone());
         }
         held.extend(old.cloned());
-        let (epoch, version) = changes.to;
-        let (leader, rivals) = (changes.leader.clone(), changes.rivals.clone());
+        let (epoch, version) = delta.to;
+        let (leader, rivals) = (delta.leader.clone(), delta.rivals.clone());
         let map = Self { epoch, leader, version, rivals, held };
         map.is_whole().then_some(map)
     }
--- a/crates/jacinthbeam-range/tests/map.rs
+++ b/crates/jacinthbeam-range/tests/map.rs
@@ -23,7 +23,7 @@
         next.assign(range, to, token, handover);
     }
     if u.arbitrary()? {
-        next.join_neighbours();
+        next.merge_adjacent();
     }
     next.version += 1;
     Ok(next)
@@ -36,11 +36,11 @@
         let first = step(u, &Map::unowned())?;
         let second = step(u, &first)?;
         let third = step(u, &second)?;
-        let changes = second.changes(first.revision(), &second.changed_since(&first));
-        assert_eq!(first.with(&changes).as_ref(), Some(&second));
-        assert_eq!(third.with(&changes), None, "told against another map");
-        let both = third.changes(first.revision(), &third.changed_since(&first));
-        assert_eq!(first.with(&both).as_ref(), Some(&third));
+        let delta = second.delta(first.revision(), &second.changed_ranges_since(&first));
+        assert_eq!(first.apply(&delta).as_ref(), Some(&second));
+        assert_eq!(third.apply(&delta), None, "told against another map");
+        let both = third.delta(first.revision(), &third.changed_ranges_since(&first));
+        assert_eq!(first.apply(&both).as_ref(), Some(&third));
         Ok(())
     });
 }
@@ -79,7 +79,7 @@
         next.assign(KeyRange { first: key, last: key }, Some(owner(250)), Token(9999), None);
     }
     next.version += 1;
-    let changes = next.changes(map.revision(), &next.changed_since(&map));
-    let bytes = bincode::serde::encode_to_vec(&changes, bincode::config::standard()).unwrap();
+    let delta = next.delta(map.revision(), &next.changed_ranges_since(&map));
+    let bytes = bincode::serde::encode_to_vec(&delta, bincode::config::standard()).unwrap();
     assert!(bytes.len() * 50 < next.to_bytes().len(), "{} bytes", bytes.len());
 }
