--- a/crates/jacinthbeam-host/src/process/traffic.rs
+++ b/crates/jacinthbeam-host/src/process/traffic.rs
@@ -251,7 +251,7 @@
 
     /// Whether an owner may be sent a request of this rank now.
     pub fn lets_in(&self, owner: &ServerId, rank: u32) -> bool {
-        self.gate(owner).is_none_or(|gate| gate.lets_in(rank, fastrand::f64()))
+        self.gate(owner).is_none_or(|gate| gate.admits(rank, fastrand::f64()))
     }
 
     /// What an owner may be sent now; `None` if that is everything.
--- a/crates/jacinthbeam-range/src/admission.rs
+++ b/crates/jacinthbeam-range/src/admission.rs
@@ -34,7 +34,7 @@
 
 impl Gate {
     /// Whether a request of this rank is let in. `random` is a number from 0 to 1.
-    pub fn lets_in(self, rank: u32, random: f64) -> bool {
+    pub fn admits(self, rank: u32, random: f64) -> bool {
         match rank.cmp(&self.rank) {
             std::cmp::Ordering::Less => true,
             std::cmp::Ordering::Equal => random < self.share,
@@ -45,27 +45,27 @@
 
 /// What is known of an owner at one moment.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Load {
+pub struct OwnerLoad {
     /// Requests that it works on at a time.
     pub slots: u32,
     /// Time that a request takes in a slot.
-    pub work: Duration,
+    pub service_time: Duration,
     /// Requests that are there, waiting ones included.
-    pub present: f64,
+    pub in_flight: f64,
     /// Requests a second that are asked of it, by rank.
-    pub rates: BTreeMap<u32, f64>,
+    pub arrival_rates: BTreeMap<u32, f64>,
 }
 
 /// What an owner should be sent, if that is less than what is asked of it.
-pub fn gate(load: &Load, objective: Duration) -> Option<Gate> {
+pub fn gate(load: &OwnerLoad, objective: Duration) -> Option<Gate> {
     let slots = f64::from(load.slots);
-    if load.present <= slots * BUSY {
+    if load.in_flight <= slots * BUSY {
         return None;
     }
-    let work = load.work.as_secs_f64().max(0.001);
+    let work = load.service_time.as_secs_f64().max(0.001);
     let wanted = (slots * USABLE * objective.as_secs_f64() / work).max(slots);
-    let mut room = slots / work + (wanted - load.present) / SETTLE.as_secs_f64();
-    for (rank, rate) in &load.rates {
+    let mut room = slots / work + (wanted - load.in_flight) / SETTLE.as_secs_f64();
+    for (rank, rate) in &load.arrival_rates {
         if *rate > room {
             return Some(Gate { rank: *rank, share: (room / rate).max(0.0) });
         }
--- a/crates/jacinthbeam-range/src/demand/mod.rs
+++ b/crates/jacinthbeam-range/src/demand/mod.rs
@@ -10,7 +10,7 @@
 use jacinthbeam_types::prelude::*;
 use serde::{Deserialize, Serialize};
 
-use crate::{admission::Load, key::Key, map::Map};
+use crate::{admission::OwnerLoad, key::Key, map::Map};
 
 pub use rates::Rates;
 use rates::{Count, PRESENT_FADE};
@@ -138,16 +138,16 @@
     /// Time that one request takes in a slot of `server`: the time that its slots were taken over the answers that it gave.
     ///
     /// Unlike the time that answers take, it doesn't grow with the queue. `None` below six answers.
-    pub fn work(&self, server: &ServerId) -> Option<Duration> {
+    pub fn service_time(&self, server: &ServerId) -> Option<Duration> {
         let seen = self.servers.get(server).filter(|seen| seen.answers >= ENOUGH)?;
         Some(Duration::from_secs_f64(seen.taken_s / seen.answers))
     }
 
     /// What is known of a server now, given its slots and the time that a request takes there.
-    pub fn load(&self, server: &ServerId, slots: u32, work: Duration) -> Option<Load> {
+    pub fn load(&self, server: &ServerId, slots: u32, service_time: Duration) -> Option<OwnerLoad> {
         let seen = self.servers.get(server)?;
         let rate = |(rank, count): (&u32, &f64)| (*rank, count / ARRIVALS_FADE.as_secs_f64());
-        let rates = seen.arrivals.iter().map(rate).collect();
-        Some(Load { slots, work, present: seen.present(), rates })
+        let arrival_rates = seen.arrivals.iter().map(rate).collect();
+        Some(OwnerLoad { slots, service_time, in_flight: seen.present(), arrival_rates })
     }
 }
--- a/crates/jacinthbeam-range/src/grantor/leading/mod.rs
+++ b/crates/jacinthbeam-range/src/grantor/leading/mod.rs
@@ -223,7 +223,7 @@
         service: &ServiceName,
     ) -> Duration {
         let measured: Vec<Duration> =
-            servers.of(service).filter_map(|server| self.demand.work(&server.id)).collect();
+            servers.of(service).filter_map(|server| self.demand.service_time(&server.id)).collect();
         if measured.is_empty() {
             return ASSUMED_WORK;
         }
--- a/crates/jacinthbeam-range/src/grantor/mod.rs
+++ b/crates/jacinthbeam-range/src/grantor/mod.rs
@@ -110,7 +110,7 @@
         let mean = leading.mean_work(view.servers, &self.service);
         let servers = view.servers.iter().filter(|server| server.service == self.service);
         let gate = |server: &Server| {
-            let work = leading.demand.work(&server.id).unwrap_or(mean);
+            let work = leading.demand.service_time(&server.id).unwrap_or(mean);
             let load = leading.demand.load(&server.id, server.slots, work)?;
             Some((server.id.clone(), admission::gate(&load, objective)?))
         };
@@ -314,7 +314,7 @@
         servers.partition(|server| server.is_cold() && server.cold_rate.is_some());
     let mean = leading.mean_work(view.servers, service);
     let candidate = |server: &Server| {
-        let work = leading.demand.work(&server.id).unwrap_or(mean);
+        let work = leading.demand.service_time(&server.id).unwrap_or(mean);
         let owner = Owner { server: server.id.clone(), addr: server.addr };
         let capacity = f64::from(server.slots) / work.as_secs_f64().max(0.001);
         let cold = server.is_cold();
--- a/crates/jacinthbeam-range/tests/load.rs
+++ b/crates/jacinthbeam-range/tests/load.rs
@@ -4,7 +4,7 @@
 
 use jacinthbeam_range::{
     Key, KeyRange, Map, Owner,
-    admission::{Gate, Load, gate},
+    admission::{Gate, OwnerLoad, gate},
     balance::{Candidate, imbalance, place, relieve},
     demand::{Demand, Report, Work},
 };
@@ -250,14 +250,19 @@
             demand.pass_time(now, |_| Some(3));
             demand.add(&h, now, &report);
         }
-        let work = demand.work(&s).unwrap().as_secs_f64();
+        let work = demand.service_time(&s).unwrap().as_secs_f64();
         assert!((work - 0.2).abs() < 0.02, "{work} s with {present} present");
     }
 }
 
-fn asked(present: f64, rates: &[(u32, f64)]) -> Load {
-    let (slots, work) = (3, Duration::from_millis(220));
-    Load { slots, work, present, rates: rates.iter().copied().collect() }
+fn asked(present: f64, rates: &[(u32, f64)]) -> OwnerLoad {
+    let (slots, service_time) = (3, Duration::from_millis(220));
+    OwnerLoad {
+        slots,
+        service_time,
+        in_flight: present,
+        arrival_rates: rates.iter().copied().collect(),
+    }
 }
 
 const OBJECTIVE: Duration = Duration::from_millis(600);
@@ -282,8 +287,8 @@
 fn urgent_requests_are_let_in_before_others() {
     let gate = gate(&asked(6.5, &[(0, 8.0), (2, 20.0)]), OBJECTIVE).unwrap();
     assert_eq!(gate.rank, 2);
-    assert!(gate.lets_in(0, 0.99) && gate.lets_in(2, 0.1) && !gate.lets_in(2, 0.9));
-    assert!(!Gate { rank: 0, share: 1.0 }.lets_in(2, 0.0));
+    assert!(gate.admits(0, 0.99) && gate.admits(2, 0.1) && !gate.admits(2, 0.9));
+    assert!(!Gate { rank: 0, share: 1.0 }.admits(2, 0.0));
 }
 
 /// The pattern: many servers of a large service leave one after the other. Each range that changes its owner is one more to renew, and
