--- a/crates/jacinthbeam-host/src/process/serving.rs
+++ b/crates/jacinthbeam-host/src/process/serving.rs
@@ -120,7 +120,7 @@
 
 /// Part of a count that is left at the next report: as much as the granting host's own counts lose in the time.
 fn kept() -> f64 {
-    (-REPORT_EVERY.as_secs_f64() / demand::FADE.as_secs_f64()).exp()
+    (-REPORT_EVERY.as_secs_f64() / demand::DECAY_TIME.as_secs_f64()).exp()
 }
 
 impl Past {
--- a/crates/jacinthbeam-range/src/balance.rs
+++ b/crates/jacinthbeam-range/src/balance.rs
@@ -12,7 +12,7 @@
 use jacinthbeam_types::prelude::*;
 
 use crate::{
-    demand::{FADE, Rates},
+    demand::{DECAY_TIME, Rates},
     key::{Key, KeyRange},
     map::{Map, Owner},
 };
@@ -51,7 +51,7 @@
 /// Part of its capacity that a server which has just started is given work for.
 pub const COLD_SHARE: f64 = 0.5;
 
-/// Smallest count worth moving: a request a second, as [`crate::demand::FADE`] counts it.
+/// Smallest count worth moving: a request a second, as [`crate::demand::DECAY_TIME`] counts it.
 const WORTH_MOVING: f64 = 4.0;
 
 /// A key that overwhelms its owner moves to a server that can do this much more. The move costs its requests the time until the
@@ -93,7 +93,10 @@
         Self {
             rates,
             candidates,
-            load: held.iter().map(|of| of.iter().map(|range| rates.of(*range)).sum()).collect(),
+            load: held
+                .iter()
+                .map(|of| of.iter().map(|range| rates.count_in(*range)).sum())
+                .collect(),
             share: candidates.iter().map(share).collect(),
             held,
         }
@@ -134,7 +137,7 @@
         let keys = self.free(from, taken).flat_map(|range| self.rates.keys(range));
         let (key, count) = keys.max_by(|a, b| a.1.total_cmp(&b.1))?;
         let capacity = |at: At| self.candidates[at].capacity;
-        if count <= capacity(from) * FADE.as_secs_f64() {
+        if count <= capacity(from) * DECAY_TIME.as_secs_f64() {
             return None;
         }
         let has_room = |at: &At| self.load[*at] <= self.share[*at] * SURPLUS;
@@ -153,7 +156,7 @@
     }
 
     fn give(&mut self, range: KeyRange, from: Option<At>, to: At) -> Move {
-        let count = self.rates.of(range);
+        let count = self.rates.count_in(range);
         if let Some(from) = from {
             self.load[from] -= count;
         }
@@ -167,7 +170,7 @@
     let mut load: BTreeMap<&ServerId, f64> = BTreeMap::new();
     for held in map.assignments() {
         let Some(owner) = &held.owner else { continue };
-        *load.entry(&owner.server).or_default() += rates.of(held.range);
+        *load.entry(&owner.server).or_default() += rates.count_in(held.range);
     }
     let total: f64 = load.values().sum();
     let most = load.values().copied().fold(0.0, f64::max);
@@ -221,7 +224,7 @@
     let most = plan.share.iter().copied().fold(f64::INFINITY, f64::min).max(WORTH_MOVING) * PIECE;
     let pieces = (PIECES_TIMES_OWNERS / candidates.len().max(1)).clamp(FEWEST_PIECES, MOST_PIECES);
     for range in ranges.iter().flat_map(|range| cut(rates, *range, most, pieces)) {
-        let unasked = rates.of(range) < WORTH_MOVING / 4.0;
+        let unasked = rates.count_in(range) < WORTH_MOVING / 4.0;
         let to = if unasked {
             let filled =
                 |at: &At| f64::from(keys[*at]) / candidates[*at].capacity.max(f64::EPSILON);
@@ -254,7 +257,7 @@
 
 /// Cuts a range into some `pieces` at the most, of at most `most` load unless one key alone has more, and of about [`WIDEST_PIECE`] keys.
 fn cut(rates: &Rates, range: KeyRange, most: f64, pieces: usize) -> Vec<KeyRange> {
-    let most = most.max(rates.of(range) / pieces as f64);
+    let most = most.max(rates.count_in(range) / pieces as f64);
     let widest = WIDEST_PIECE.max(range.width() / pieces as u32 * 2);
     let mut cut = Vec::new();
     let mut first = range.first;
--- a/crates/jacinthbeam-range/src/demand/mod.rs
+++ b/crates/jacinthbeam-range/src/demand/mod.rs
@@ -13,24 +13,24 @@
 use crate::{admission::OwnerLoad, key::Key, map::Map};
 
 pub use rates::Rates;
-use rates::{Count, PRESENT_FADE};
+use rates::{Count, RECENT_DECAY_TIME};
 
 /// One host's counts since its last report.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Report {
     /// Requests for each key, those that were refused included: it is demand that is to be spread, not what was served.
     pub keys: BTreeMap<Key, u32>,
-    /// The same for the seconds before, faded by [`FADE`], for a host that has heard none of it.
+    /// The same for the seconds before, faded by [`DECAY_TIME`], for a host that has heard none of it.
     pub earlier: BTreeMap<Key, u32>,
     /// Requests for the keys of each owner by their rank, those that were refused included.
     pub arrivals: BTreeMap<ServerId, BTreeMap<u32, u32>>,
     /// What was seen of each backend server.
-    pub servers: BTreeMap<ServerId, Work>,
+    pub servers: BTreeMap<ServerId, ServerReport>,
 }
 
 /// Answers of one backend server.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
-pub struct Work {
+pub struct ServerReport {
     /// Answers that came back, failures of the server's own included: they took its time too.
     pub answers: u32,
     /// Requests of the host that are there at the end of the report.
@@ -39,14 +39,14 @@
 
 /// Time after which a count has lost 63 % of its weight. A hot key has to be seen within a second or two, and 4 s of an
 /// ordinary server's traffic (seven requests a second) are some 28 requests, whose counting error is below 20 %.
-pub const FADE: Duration = Duration::from_secs(4);
+pub const DECAY_TIME: Duration = Duration::from_secs(4);
 
-/// Counts below this weigh nothing and are dropped, so that the table holds only keys of the last [`FADE`] times 5.
+/// Counts below this weigh nothing and are dropped, so that the table holds only keys of the last [`DECAY_TIME`] times 5.
 const DUST: f64 = 0.01;
 
 /// Time after which a count of arrivals for an owner has lost 63 % of its weight: a second's worth, some ten requests of a busy
 /// owner. What is let in has to follow a burst within a second.
-const ARRIVALS_FADE: Duration = Duration::from_millis(900);
+const ARRIVALS_DECAY_TIME: Duration = Duration::from_millis(900);
 
 /// What a host said last of the requests that it has at a server counts for this long. Hosts report four times a second.
 const IN_FLIGHT_LASTS: Duration = Duration::from_millis(1000);
@@ -91,7 +91,8 @@
         for (key, count) in &report.earlier {
             let counted = self.keys.entry(*key).or_default();
             counted.steady += f64::from(*count);
-            counted.present += f64::from(*count) * PRESENT_FADE.as_secs_f64() / FADE.as_secs_f64();
+            counted.present +=
+                f64::from(*count) * RECENT_DECAY_TIME.as_secs_f64() / DECAY_TIME.as_secs_f64();
         }
         for (server, by_rank) in &report.arrivals {
             let seen = self.servers.entry(server.clone()).or_default();
@@ -107,12 +108,12 @@
     }
 
     /// Lets counts fade, and adds up how long slots were taken since the last call. `slots` tells how many a server has.
-    pub fn pass_time(&mut self, now: Instant, slots: impl Fn(&ServerId) -> Option<u32>) {
+    pub fn advance(&mut self, now: Instant, slots: impl Fn(&ServerId) -> Option<u32>) {
         let last = self.faded.replace(now).unwrap_or(now);
         let by = now.saturating_duration_since(last).as_secs_f64();
-        let left = (-by / FADE.as_secs_f64()).exp();
-        let arrivals_left = (-by / ARRIVALS_FADE.as_secs_f64()).exp();
-        let present_left = (-by / PRESENT_FADE.as_secs_f64()).exp();
+        let left = (-by / DECAY_TIME.as_secs_f64()).exp();
+        let arrivals_left = (-by / ARRIVALS_DECAY_TIME.as_secs_f64()).exp();
+        let present_left = (-by / RECENT_DECAY_TIME.as_secs_f64()).exp();
         self.keys.retain(|_, count| {
             count.steady *= left;
             count.present *= present_left;
@@ -146,7 +147,7 @@
     /// What is known of a server now, given its slots and the time that a request takes there.
     pub fn load(&self, server: &ServerId, slots: u32, service_time: Duration) -> Option<OwnerLoad> {
         let seen = self.servers.get(server)?;
-        let rate = |(rank, count): (&u32, &f64)| (*rank, count / ARRIVALS_FADE.as_secs_f64());
+        let rate = |(rank, count): (&u32, &f64)| (*rank, count / ARRIVALS_DECAY_TIME.as_secs_f64());
         let arrival_rates = seen.arrivals.iter().map(rate).collect();
         Some(OwnerLoad { slots, service_time, in_flight: seen.present(), arrival_rates })
     }
--- a/crates/jacinthbeam-range/src/demand/rates.rs
+++ b/crates/jacinthbeam-range/src/demand/rates.rs
@@ -11,7 +11,7 @@
 ///
 /// In a second a key that is asked for 27 times shows 17 of them, right to a fifth. With 0.6 s, 1.3 s and 1.8 s about as many
 /// requests of a burst were refused (15.5, 14.6 and 14.4 against 15.4, in plays without network of bursts for 60 keys).
-pub(super) const PRESENT_FADE: Duration = Duration::from_millis(900);
+pub(super) const RECENT_DECAY_TIME: Duration = Duration::from_millis(900);
 
 /// Standard errors by which the present of a range has to differ from its last seconds to be believed.
 ///
@@ -26,13 +26,13 @@
 /// Requests for one key.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct Count {
-    /// Faded by [`super::FADE`].
+    /// Faded by [`super::DECAY_TIME`].
     pub(super) steady: f64,
-    /// Faded by [`PRESENT_FADE`].
+    /// Faded by [`RECENT_DECAY_TIME`].
     pub(super) present: f64,
 }
 
-/// What is asked of each key, as a count that a steady rate would have after some times [`super::FADE`].
+/// What is asked of each key, as a count that a steady rate would have after some times [`super::DECAY_TIME`].
 ///
 /// The last seconds tell it best while it is steady. When a key begins to be asked for, its count over these seconds takes as
 /// long to rise, and it is treated as one of many for two of them; when it ceases, its owner looks busy, and is given nothing to
@@ -72,7 +72,7 @@
     }
 
     /// Count of all keys in a range.
-    pub fn of(&self, range: KeyRange) -> f64 {
+    pub fn count_in(&self, range: KeyRange) -> f64 {
         self.keys.range(range.first..=range.last).map(|(_, count)| count).sum()
     }
 
--- a/crates/jacinthbeam-range/src/grantor/leading/mod.rs
+++ b/crates/jacinthbeam-range/src/grantor/leading/mod.rs
@@ -254,7 +254,7 @@
     }
 
     fn pass_time(&mut self, view: View<'_>) {
-        self.demand.pass_time(view.now, |id| view.servers.get(id).map(|server| server.slots));
+        self.demand.advance(view.now, |id| view.servers.get(id).map(|server| server.slots));
         self.settling.retain(|(until, _)| *until > view.now);
     }
 
--- a/crates/jacinthbeam-range/tests/load.rs
+++ b/crates/jacinthbeam-range/tests/load.rs
@@ -6,7 +6,7 @@
     Key, KeyRange, Map, Owner,
     admission::{Gate, OwnerLoad, gate},
     balance::{Candidate, imbalance, place, relieve},
-    demand::{Demand, Report, Work},
+    demand::{Demand, Report, ServerReport},
 };
 use jacinthbeam_types::prelude::*;
 
@@ -121,7 +121,7 @@
         if let Some(key) = hot {
             report.keys.insert(key, if step % 4 == 0 { 6 } else { 7 });
         }
-        demand.pass_time(now, |_| Some(3));
+        demand.advance(now, |_| Some(3));
         demand.add(&"h".parse().unwrap(), now, &report);
     }
     now
@@ -146,7 +146,7 @@
     let begun = ask(&mut demand, Instant::now(), 8, None);
     ask(&mut demand, begun, 1, Some(HOT));
     let rates = demand.rates(&even());
-    let share = rates.of(KeyRange { first: HOT, last: HOT }) / rates.total();
+    let share = rates.count_in(KeyRange { first: HOT, last: HOT }) / rates.total();
     assert!(share > HOT_SHARE * 0.6, "{share} of the load in place of {HOT_SHARE}");
 }
 
@@ -157,7 +157,7 @@
     let begun = ask(&mut demand, Instant::now(), 8, Some(HOT));
     ask(&mut demand, begun, 3, None);
     let rates = demand.rates(&even());
-    let share = rates.of(KeyRange { first: HOT, last: HOT }) / rates.total();
+    let share = rates.count_in(KeyRange { first: HOT, last: HOT }) / rates.total();
     assert!(share < HOT_SHARE * 0.2, "{share} of the load in place of none");
 }
 
@@ -176,7 +176,7 @@
     let burst = Report { keys: [(HOT, 40)].into(), ..Report::default() };
     demand.add(&"h".parse().unwrap(), Instant::now(), &burst);
     let rates = demand.rates(&map);
-    let share = rates.of(KeyRange { first: HOT, last: HOT }) / rates.total();
+    let share = rates.count_in(KeyRange { first: HOT, last: HOT }) / rates.total();
     assert!(share > 0.15, "{share} of the load");
 }
 
@@ -191,11 +191,11 @@
         let now = begun + Duration::from_millis(250) * step;
         let part = if step < 32 { 1 } else { 2 };
         let keys = [(busy, 200 / part), (calm, 2 / part)].into();
-        demand.pass_time(now, |_| Some(3));
+        demand.advance(now, |_| Some(3));
         demand.add(&h, now, &Report { keys, ..Report::default() });
     }
     let rates = demand.rates(&even());
-    let count = |key| rates.of(KeyRange { first: key, last: key });
+    let count = |key| rates.count_in(KeyRange { first: key, last: key });
     let ratio = count(busy) / count(calm);
     assert!((90.0..110.0).contains(&ratio), "{ratio}");
 }
@@ -245,9 +245,9 @@
             let now = begun + Duration::from_millis(250) * step;
             // Three slots at 0.2 s each give 15 answers a second; every fourth report has 3, the others 4.
             let answers = if step % 4 == 0 { 3 } else { 4 };
-            let work = Work { answers, in_flight: present };
+            let work = ServerReport { answers, in_flight: present };
             let report = Report { servers: [(s.clone(), work)].into(), ..Report::default() };
-            demand.pass_time(now, |_| Some(3));
+            demand.advance(now, |_| Some(3));
             demand.add(&h, now, &report);
         }
         let work = demand.service_time(&s).unwrap().as_secs_f64();
--- a/crates/jacinthbeam-range/tests/onset.rs
+++ b/crates/jacinthbeam-range/tests/onset.rs
@@ -183,7 +183,7 @@
     }
 
     fn balance(&mut self) {
-        self.demand.pass_time(self.now, |_| Some(3));
+        self.demand.advance(self.now, |_| Some(3));
         let mut expected = self.map.clone();
         for (_, Move { range, to }) in &self.under_way {
             expected.assign(*range, Some(to.clone()), Token(2), None);
