--- a/crates/jacinthbeam-range/src/balance.rs
+++ b/crates/jacinthbeam-range/src/balance.rs
@@ -49,7 +49,7 @@
 const CERTAINTY: f64 = 2.0;
 
 /// Part of its capacity that a server which has just started is given work for.
-pub const COLD_SHARE: f64 = 0.5;
+pub const COLD_CAPACITY_SHARE: f64 = 0.5;
 
 /// Smallest count worth moving: a request a second, as [`crate::demand::DECAY_TIME`] counts it.
 const WORTH_MOVING: f64 = 4.0;
@@ -129,7 +129,7 @@
 
     /// Ranges of a candidate that may move.
     fn free<'b>(&'b self, at: At, taken: &'b [KeyRange]) -> impl Iterator<Item = KeyRange> + 'b {
-        self.held[at].iter().flat_map(|range| without(*range, taken))
+        self.held[at].iter().flat_map(|range| subtract(*range, taken))
     }
 
     /// A key that alone asks for more than its owner can do, and a server that can do much more of it.
@@ -179,7 +179,7 @@
 
 /// Moves that relieve the busiest owners, at most `most`. `fixed` ranges stay where they are, since they are on their way
 /// already or have just come.
-pub fn relieve(
+pub fn rebalance(
     map: &Map,
     rates: &Rates,
     candidates: &[Candidate],
@@ -276,7 +276,7 @@
 }
 
 /// What of `range` is in none of `taken`.
-pub(crate) fn without(range: KeyRange, taken: &[KeyRange]) -> Vec<KeyRange> {
+pub(crate) fn subtract(range: KeyRange, taken: &[KeyRange]) -> Vec<KeyRange> {
     let mut left = vec![range];
     for taken in taken {
         left = left
--- a/crates/jacinthbeam-range/src/grantor/leading/plan.rs
+++ b/crates/jacinthbeam-range/src/grantor/leading/plan.rs
@@ -50,7 +50,7 @@
                 .chain(self.settling.iter().map(|(_, range)| *range))
                 .collect();
             let most = moves_at_once(candidates.len()).min(room);
-            let moves = balance::relieve(
+            let moves = balance::rebalance(
                 &self.expected(),
                 &self.demand.rates(&self.map),
                 &candidates,
--- a/crates/jacinthbeam-range/src/grantor/leading/renew.rs
+++ b/crates/jacinthbeam-range/src/grantor/leading/renew.rs
@@ -105,6 +105,6 @@
     /// What of a range is not on its way to another owner.
     pub(super) fn still_held(&self, range: KeyRange) -> Vec<KeyRange> {
         let moving = self.moves.iter().map(|m| m.range).filter(|moving| moving.overlaps(range));
-        balance::without(range, &moving.collect::<Vec<_>>())
+        balance::subtract(range, &moving.collect::<Vec<_>>())
     }
 }
--- a/crates/jacinthbeam-range/src/grantor/mod.rs
+++ b/crates/jacinthbeam-range/src/grantor/mod.rs
@@ -328,5 +328,5 @@
 /// What a cold server is given: less than its share, and no more than it takes.
 fn cold_capacity(server: &Server, warm: f64) -> f64 {
     let most = server.cold_rate.map_or(f64::INFINITY, Rate::per_second);
-    (warm * balance::COLD_SHARE).min(most)
+    (warm * balance::COLD_CAPACITY_SHARE).min(most)
 }
--- a/crates/jacinthbeam-range/tests/load.rs
+++ b/crates/jacinthbeam-range/tests/load.rs
@@ -5,7 +5,7 @@
 use jacinthbeam_range::{
     Key, KeyRange, Map, Owner,
     admission::{Gate, OwnerLoad, gate},
-    balance::{Candidate, imbalance, place, relieve},
+    balance::{Candidate, imbalance, place, rebalance},
     demand::{Demand, Report, ServerReport},
 };
 use jacinthbeam_types::prelude::*;
@@ -65,7 +65,7 @@
     assert!(busiest(&map, &demand) > 6.0);
     let mut rounds = 0;
     loop {
-        let moves = relieve(&map, &demand.rates(&map), &candidates(0..OWNERS), &[], 8);
+        let moves = rebalance(&map, &demand.rates(&map), &candidates(0..OWNERS), &[], 8);
         if moves.is_empty() {
             break;
         }
@@ -88,7 +88,7 @@
     (0..548).for_each(|_| *report.earlier.entry(Key(rng.u16(..))).or_default() += 1);
     let mut demand = Demand::default();
     demand.add(&"h".parse().unwrap(), Instant::now(), &report);
-    assert_eq!(relieve(&even(), &demand.rates(&even()), &candidates(0..OWNERS), &[], 8), []);
+    assert_eq!(rebalance(&even(), &demand.rates(&even()), &candidates(0..OWNERS), &[], 8), []);
 }
 
 /// The owner of the hot keys leaves. Given to others by width alone, all hot keys would go to one of them, which then has
@@ -215,14 +215,14 @@
         }
     });
     all[at(3)].capacity = 17.0;
-    let moves = relieve(&map, &demand.rates(&map), &all, &[], 8);
+    let moves = rebalance(&map, &demand.rates(&map), &all, &[], 8);
     let to: Vec<&Owner> = moves.iter().filter(|m| m.range.contains(HOT)).map(|m| &m.to).collect();
     assert_eq!(to, [&owner(3)]);
     // A fast server that has a hot key of its own has no room for another.
     let other = Key(3 * 3277 + 5);
     let mut two = demand.clone();
     (0..8).for_each(|_| ask_more(&mut two, other));
-    let moves = relieve(&map, &two.rates(&map), &all, &[], 8);
+    let moves = rebalance(&map, &two.rates(&map), &all, &[], 8);
     assert!(moves.iter().all(|m| !m.range.contains(HOT) || m.to != owner(3)), "{moves:?}");
     // An owner that is hardly slower keeps it.
     all.iter_mut().for_each(|c| {
@@ -230,7 +230,7 @@
             c.capacity = 13.0
         }
     });
-    let moves = relieve(&map, &demand.rates(&map), &all, &[], 8);
+    let moves = rebalance(&map, &demand.rates(&map), &all, &[], 8);
     assert!(moves.iter().all(|m| !m.range.contains(HOT)), "{moves:?}");
 }
 
--- a/crates/jacinthbeam-range/tests/onset.rs
+++ b/crates/jacinthbeam-range/tests/onset.rs
@@ -13,7 +13,7 @@
 
 use jacinthbeam_range::{
     Key, KeyRange, Map, Owner,
-    balance::{Candidate, Move, relieve},
+    balance::{Candidate, Move, rebalance},
     demand::{Demand, Report},
     grantor::timing::moves_at_once,
 };
@@ -196,7 +196,7 @@
             .collect();
         let rates = self.demand.rates(&self.map);
         let most = moves_at_once(self.candidates.len());
-        let moves = relieve(&expected, &rates, &self.candidates, &fixed, most);
+        let moves = rebalance(&expected, &rates, &self.candidates, &fixed, most);
         for change in moves {
             let from =
                 self.map.lookup(change.range.first).owner.as_ref().expect("every key has one");
