--- a/crates/jacinthbeam-host/src/process/peers/load.rs
+++ b/crates/jacinthbeam-host/src/process/peers/load.rs
@@ -5,7 +5,7 @@
 
 use std::{collections::BTreeMap, time::Duration};
 
-use jacinthbeam_range::{Leader, admission::Gate, demand::Report};
+use jacinthbeam_range::{Leader, admission::Gate, demand::LoadReport};
 use jacinthbeam_types::prelude::*;
 use serde::{Deserialize, Serialize};
 
@@ -22,7 +22,7 @@
         /// The service.
         service: ServiceName,
         /// The counts.
-        report: Report,
+        report: LoadReport,
     },
     /// A host that granted the keys of a service sends no grant of that epoch any more.
     Stopped {
@@ -73,9 +73,9 @@
     }
 
     /// Reports of one service, each short enough for a datagram.
-    pub fn loads(from: &HostId, service: &ServiceName, report: Report) -> Vec<Self> {
+    pub fn loads(from: &HostId, service: &ServiceName, report: LoadReport) -> Vec<Self> {
         let mut messages = Vec::new();
-        let mut part = Report::default();
+        let mut part = LoadReport::default();
         let load = |report| Self::Load { from: from.clone(), service: service.clone(), report };
         // A key with its count takes up to 6 bytes, a server with its work up to 40.
         for (key, count) in report.keys {
@@ -104,7 +104,7 @@
             }
             part.arrivals.insert(server, by_rank);
         }
-        if part != Report::default() {
+        if part != LoadReport::default() {
             messages.push(load(part));
         }
         messages
--- a/crates/jacinthbeam-host/src/process/serving.rs
+++ b/crates/jacinthbeam-host/src/process/serving.rs
@@ -10,7 +10,7 @@
 
 use jacinthbeam_range::{
     Key, Leader,
-    demand::{self, Report},
+    demand::{self, LoadReport},
 };
 use jacinthbeam_types::prelude::*;
 use tokio::{
@@ -125,7 +125,12 @@
 
 impl Past {
     /// Takes the counts since the last report. Returns what to report: to a new leader, the last seconds too.
-    fn add(&mut self, service: &ServiceName, leader: Option<&Leader>, report: Report) -> Report {
+    fn add(
+        &mut self,
+        service: &ServiceName,
+        leader: Option<&Leader>,
+        report: LoadReport,
+    ) -> LoadReport {
         let (told, keys) = self.of.entry(service.clone()).or_default();
         keys.retain(|_, count| {
             *count *= kept();
@@ -141,6 +146,6 @@
         for (key, count) in &report.keys {
             *keys.entry(*key).or_default() += f64::from(*count);
         }
-        Report { earlier, ..report }
+        LoadReport { earlier, ..report }
     }
 }
--- a/crates/jacinthbeam-host/src/process/traffic.rs
+++ b/crates/jacinthbeam-host/src/process/traffic.rs
@@ -14,7 +14,7 @@
     Fact, Fingerprint, Prober, RecentAnswers, Suspects, fingerprint::Head, probe::Rank,
 };
 use jacinthbeam_dispatch::{Budget, Seen, slow_start::Pacer};
-use jacinthbeam_range::{Key, admission::Gate, demand::Report};
+use jacinthbeam_range::{Key, admission::Gate, demand::LoadReport};
 use jacinthbeam_route::{Route, Server, Target, route::Dealer};
 use jacinthbeam_types::prelude::*;
 use tokio::sync::{mpsc, watch};
@@ -54,7 +54,7 @@
     servers: RefCell<BTreeMap<ServerId, Rc<ServerState>>>,
     budgets: RefCell<BTreeMap<ServiceName, Budget>>,
     dealers: RefCell<BTreeMap<String, Dealer>>,
-    reports: RefCell<BTreeMap<ServiceName, Report>>,
+    reports: RefCell<BTreeMap<ServiceName, LoadReport>>,
     recent: RefCell<RecentAnswers>,
     prober: RefCell<Prober>,
     /// The suspects that the recent answers were last compared with.
@@ -298,7 +298,7 @@
     }
 
     /// The counts since the last call.
-    pub fn take_reports(&self) -> BTreeMap<ServiceName, Report> {
+    pub fn take_reports(&self) -> BTreeMap<ServiceName, LoadReport> {
         std::mem::take(&mut self.reports.borrow_mut())
     }
 
--- a/crates/jacinthbeam-range/src/demand/mod.rs
+++ b/crates/jacinthbeam-range/src/demand/mod.rs
@@ -17,7 +17,7 @@
 
 /// One host's counts since its last report.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Report {
+pub struct LoadReport {
     /// Requests for each key, those that were refused included: it is demand that is to be spread, not what was served.
     pub keys: BTreeMap<Key, u32>,
     /// The same for the seconds before, faded by [`DECAY_TIME`], for a host that has heard none of it.
@@ -81,7 +81,7 @@
 
 impl Demand {
     /// Adds a host's report.
-    pub fn add(&mut self, from: &HostId, now: Instant, report: &Report) {
+    pub fn add(&mut self, from: &HostId, now: Instant, report: &LoadReport) {
         for (key, count) in &report.keys {
             let counted = self.keys.entry(*key).or_default();
             counted.steady += f64::from(*count);
--- a/crates/jacinthbeam-range/src/grantor/event.rs
+++ b/crates/jacinthbeam-range/src/grantor/event.rs
@@ -6,7 +6,7 @@
 
 use super::contact::Outcome;
 use crate::{
-    demand::Report,
+    demand::LoadReport,
     key::KeyRange,
     map::{Leader, Map},
 };
@@ -57,7 +57,7 @@
         /// The host.
         from: HostId,
         /// Its counts since its last report.
-        report: Report,
+        report: LoadReport,
     },
     /// Another host knows this record. It may be older than what is known here.
     Heard(Map),
--- a/crates/jacinthbeam-range/tests/grantor/server.rs
+++ b/crates/jacinthbeam-range/tests/grantor/server.rs
@@ -4,7 +4,7 @@
 
 use jacinthbeam_range::{
     Event, Key, Map, Order,
-    demand::Report,
+    demand::LoadReport,
     grantor::{Call, NoAnswer, Outcome, View, longest_hold},
 };
 use jacinthbeam_route::Server;
@@ -209,7 +209,7 @@
     };
     play.servers.insert(cold);
     let keys = (0..65_000).step_by(650).map(|key| (Key(key), 1)).collect();
-    let report = Report { keys, ..Report::default() };
+    let report = LoadReport { keys, ..LoadReport::default() };
     play.feed(Event::Load { from: "h2".parse().unwrap(), report });
     for _ in 0..30 {
         play.run(TICK);
--- a/crates/jacinthbeam-range/tests/grantor/store.rs
+++ b/crates/jacinthbeam-range/tests/grantor/store.rs
@@ -4,7 +4,7 @@
 
 use jacinthbeam_range::{
     Event, Grantor, Key, KeyRange, Map,
-    demand::Report,
+    demand::LoadReport,
     grantor::{longest_hold, timing},
 };
 use jacinthbeam_types::prelude::*;
@@ -162,7 +162,7 @@
     play.run(Duration::from_secs(2));
     let busy = |play: &mut Play, first: u16| {
         let keys = (first..first + 40).map(|key| (Key(key), 2)).collect();
-        let report = Report { keys, ..Report::default() };
+        let report = LoadReport { keys, ..LoadReport::default() };
         play.feed_without_store(Event::Load { from: "h9".parse().unwrap(), report });
         play.run_without_store(Duration::from_millis(250));
     };
--- a/crates/jacinthbeam-range/tests/load.rs
+++ b/crates/jacinthbeam-range/tests/load.rs
@@ -6,7 +6,7 @@
     Key, KeyRange, Map, Owner,
     admission::{Gate, OwnerLoad, gate},
     balance::{Candidate, imbalance, place, rebalance},
-    demand::{Demand, Report, ServerReport},
+    demand::{Demand, LoadReport, ServerReport},
 };
 use jacinthbeam_types::prelude::*;
 
@@ -36,7 +36,7 @@
 /// Four seconds of the sheet's lookups: 137 a second, a third of them for 200 keys that lie side by side.
 fn hot(first: u16) -> Demand {
     let mut rng = fastrand::Rng::with_seed(7);
-    let mut report = Report::default();
+    let mut report = LoadReport::default();
     for n in 0..548 {
         let key = if n % 3 == 0 { first + rng.u16(0..200) } else { rng.u16(..) };
         *report.earlier.entry(Key(key)).or_default() += 1;
@@ -84,7 +84,7 @@
 #[test]
 fn an_even_load_moves_nothing() {
     let mut rng = fastrand::Rng::with_seed(3);
-    let mut report = Report::default();
+    let mut report = LoadReport::default();
     (0..548).for_each(|_| *report.earlier.entry(Key(rng.u16(..))).or_default() += 1);
     let mut demand = Demand::default();
     demand.add(&"h".parse().unwrap(), Instant::now(), &report);
@@ -116,7 +116,7 @@
     let mut now = from;
     for step in 0..seconds * 4 {
         now += Duration::from_millis(250);
-        let mut report = Report::default();
+        let mut report = LoadReport::default();
         (0..12).for_each(|_| *report.keys.entry(Key(rng.u16(..))).or_default() += 1);
         if let Some(key) = hot {
             report.keys.insert(key, if step % 4 == 0 { 6 } else { 7 });
@@ -131,7 +131,7 @@
 
 /// Asks for a key seven times more, at once.
 fn ask_more(demand: &mut Demand, key: Key) {
-    let report = Report { earlier: [(key, 7)].into(), ..Report::default() };
+    let report = LoadReport { earlier: [(key, 7)].into(), ..LoadReport::default() };
     demand.add(&"h".parse().unwrap(), Instant::now(), &report);
 }
 
@@ -167,13 +167,13 @@
 fn what_is_told_of_earlier_seconds_is_no_burst() {
     let (map, mut demand) = (even(), Demand::default());
     let earlier = (0..548).map(|n| (Key(n * 119), 1)).collect();
-    let report = Report { earlier, ..Report::default() };
+    let report = LoadReport { earlier, ..LoadReport::default() };
     demand.add(&"h".parse().unwrap(), Instant::now(), &report);
     let total = demand.rates(&map).total();
     assert!((total - 548.0).abs() < 1.0, "{total}");
 
     // A burst that begins at that moment is seen as one. Were the earlier seconds part of the present, it would look small beside them.
-    let burst = Report { keys: [(HOT, 40)].into(), ..Report::default() };
+    let burst = LoadReport { keys: [(HOT, 40)].into(), ..LoadReport::default() };
     demand.add(&"h".parse().unwrap(), Instant::now(), &burst);
     let rates = demand.rates(&map);
     let share = rates.count_in(KeyRange { first: HOT, last: HOT }) / rates.total();
@@ -192,7 +192,7 @@
         let part = if step < 32 { 1 } else { 2 };
         let keys = [(busy, 200 / part), (calm, 2 / part)].into();
         demand.advance(now, |_| Some(3));
-        demand.add(&h, now, &Report { keys, ..Report::default() });
+        demand.add(&h, now, &LoadReport { keys, ..LoadReport::default() });
     }
     let rates = demand.rates(&even());
     let count = |key| rates.count_in(KeyRange { first: key, last: key });
@@ -246,7 +246,8 @@
             // Three slots at 0.2 s each give 15 answers a second; every fourth report has 3, the others 4.
             let answers = if step % 4 == 0 { 3 } else { 4 };
             let work = ServerReport { answers, in_flight: present };
-            let report = Report { servers: [(s.clone(), work)].into(), ..Report::default() };
+            let report =
+                LoadReport { servers: [(s.clone(), work)].into(), ..LoadReport::default() };
             demand.advance(now, |_| Some(3));
             demand.add(&h, now, &report);
         }
--- a/crates/jacinthbeam-range/tests/onset.rs
+++ b/crates/jacinthbeam-range/tests/onset.rs
@@ -14,7 +14,7 @@
 use jacinthbeam_range::{
     Key, KeyRange, Map, Owner,
     balance::{Candidate, Move, rebalance},
-    demand::{Demand, Report},
+    demand::{Demand, LoadReport},
     grantor::timing::moves_at_once,
 };
 use jacinthbeam_types::prelude::*;
@@ -62,7 +62,7 @@
     rng: fastrand::Rng,
     map: Map,
     demand: Demand,
-    report: Report,
+    report: LoadReport,
     waiting: BTreeMap<ServerId, f64>,
     candidates: Vec<Candidate>,
     /// Requests for keys that are on their way.
@@ -93,7 +93,7 @@
             rng,
             map,
             demand: Demand::default(),
-            report: Report::default(),
+            report: LoadReport::default(),
             waiting: BTreeMap::new(),
             candidates,
             held: Vec::new(),
--- a/crates/jacinthbeam-range/tests/world/mod.rs
+++ b/crates/jacinthbeam-range/tests/world/mod.rs
@@ -11,7 +11,7 @@
     time::{Duration, Instant},
 };
 
-use jacinthbeam_range::{KeyRange, Leader, Map, demand::Report};
+use jacinthbeam_range::{KeyRange, Leader, Map, demand::LoadReport};
 use jacinthbeam_route::{Server as Listed, Servers};
 use jacinthbeam_types::prelude::*;
 
@@ -285,8 +285,8 @@
     }
 
     /// A few hot keys side by side, which move on every four seconds.
-    fn load(&mut self) -> Report {
-        let mut report = Report::default();
+    fn load(&mut self) -> LoadReport {
+        let mut report = LoadReport::default();
         let hot = (self.now - self.begun).as_secs() / 4 * 13_000;
         for _ in 0..8 {
             let key = match self.rng.bool() {
