--- a/crates/jacinthbeam-host/src/process/serving.rs
+++ b/crates/jacinthbeam-host/src/process/serving.rs
@@ -10,7 +10,7 @@
 
 use jacinthbeam_range::{
     Key, Leader,
-    demand::{self, Report},
+    demand::{self, LoadReport},
 };
 use jacinthbeam_types::prelude::*;
 use tokio::{
@@ -120,12 +120,17 @@
 
 /// Part of a count that is left at the next report: as much as the granting host's own counts lose in the time.
 fn kept() -> f64 {
-    (-REPORT_EVERY.as_secs_f64() / demand::FADE.as_secs_f64()).exp()
+    (-REPORT_EVERY.as_secs_f64() / demand::DECAY_TIME.as_secs_f64()).exp()
 }
 
 impl Past {
     /// Takes the counts since the last report. Returns what to report: to a new leader, the last seconds too.
-    fn add(&mut self, service: &ServiceName, leader: Option<&Leader>, report: Report) -> Report {
+    fn add(
+        &mut self,
+        service: &ServiceName,
+        leader: Option<&Leader>,
+        report: LoadReport,
+    ) -> LoadReport {
         let (told, keys) = self.of.entry(service.clone()).or_default();
         keys.retain(|_, count| {
             *count *= kept();
@@ -141,6 +146,6 @@
         for (key, count) in &report.keys {
             *keys.entry(*key).or_default() += f64::from(*count);
         }
-        Report { earlier, ..report }
+        LoadReport { earlier, ..report }
     }
 }
--- a/crates/jacinthbeam-host/src/process/traffic.rs
+++ b/crates/jacinthbeam-host/src/process/traffic.rs
@@ -14,7 +14,7 @@
     Fact, Fingerprint, Prober, RecentSuccesses, Suspects, fingerprint::HeadDigest, probe::Rank,
 };
 use jacinthbeam_dispatch::{Budget, Seen, slow_start::Pacer};
-use jacinthbeam_range::{Key, admission::Gate, demand::Report};
+use jacinthbeam_range::{Key, admission::Gate, demand::LoadReport};
 use jacinthbeam_route::{Route, Server, Target, route::Dealer};
 use jacinthbeam_types::prelude::*;
 use tokio::sync::{mpsc, watch};
@@ -54,7 +54,7 @@
     servers: RefCell<BTreeMap<ServerId, Rc<ServerState>>>,
     budgets: RefCell<BTreeMap<ServiceName, Budget>>,
     dealers: RefCell<BTreeMap<String, Dealer>>,
-    reports: RefCell<BTreeMap<ServiceName, Report>>,
+    reports: RefCell<BTreeMap<ServiceName, LoadReport>>,
     recent: RefCell<RecentSuccesses>,
     prober: RefCell<Prober>,
     /// The suspects that the recent answers were last compared with.
@@ -237,7 +237,7 @@
         let servers = self.servers.borrow();
         let mut reports = self.reports.borrow_mut();
         for (service, map) in &view.maps {
-            let owners = map.held().iter().filter_map(|held| held.owner.as_ref());
+            let owners = map.assignments().iter().filter_map(|held| held.owner.as_ref());
             for owner in owners {
                 let Some(state) = servers.get(&owner.server) else { continue };
                 let in_flight = state.seen.borrow().in_flight();
@@ -251,7 +251,7 @@
 
     /// Whether an owner may be sent a request of this rank now.
     pub fn lets_in(&self, owner: &ServerId, rank: u32) -> bool {
-        self.gate(owner).is_none_or(|gate| gate.lets_in(rank, fastrand::f64()))
+        self.gate(owner).is_none_or(|gate| gate.admits(rank, fastrand::f64()))
     }
 
     /// What an owner may be sent now; `None` if that is everything.
@@ -298,7 +298,7 @@
     }
 
     /// The counts since the last call.
-    pub fn take_reports(&self) -> BTreeMap<ServiceName, Report> {
+    pub fn take_reports(&self) -> BTreeMap<ServiceName, LoadReport> {
         std::mem::take(&mut self.reports.borrow_mut())
     }
 
--- a/crates/jacinthbeam-range/src/grantor/leading/majority.rs
+++ b/crates/jacinthbeam-range/src/grantor/leading/majority.rs
@@ -15,7 +15,7 @@
 use super::Leading;
 use crate::{
     grantor::timing::{CONFIRMATION_VALID_FOR, MAJORITY_VALID_FOR, MARGIN, MAX_CALL_TIME},
-    map::{Held, Map},
+    map::{Assignment, Map},
 };
 
 /// How a leader learns that nobody before it can renew any more.
@@ -60,7 +60,7 @@
     }
 
     fn majority_accepted_in(&self, map: &Map) -> Option<Instant> {
-        let servers = map.held().iter().filter_map(|held| held.owner.as_ref());
+        let servers = map.assignments().iter().filter_map(|held| held.owner.as_ref());
         let owners: BTreeSet<&ServerId> = servers.map(|owner| &owner.server).collect();
         let taken = |id: &&ServerId| self.owners.get(*id).and_then(|state| state.accepted_at());
         let mut times: Vec<Instant> = owners.iter().filter_map(taken).collect();
@@ -99,8 +99,8 @@
     /// only if it was there before this leader's first grants ([`OwnerState::is_connection_confirmed`](crate::grantor::owner_state::OwnerState::is_connection_confirmed)).
     fn refuses_predecessors(&self, id: &ServerId) -> bool {
         self.incarnations_of(id).any(|state| {
-            let mut held = self.map.of_server(&state.owner.server).peekable();
-            let confirmed = |held: &Held| state.has_confirmed(held.range, held.token);
+            let mut held = self.map.owned_by(&state.owner.server).peekable();
+            let confirmed = |held: &Assignment| state.has_confirmed(held.range, held.token);
             state.ended || held.peek().is_some() && held.all(confirmed)
         })
     }
--- a/crates/jacinthbeam-range/src/grantor/leading/mod.rs
+++ b/crates/jacinthbeam-range/src/grantor/leading/mod.rs
@@ -135,11 +135,11 @@
         self.map = map;
         let map = &self.map;
         self.moves.retain(|moving| {
-            let held = map.of(moving.range.first);
+            let held = map.lookup(moving.range.first);
             held.token < moving.token || held.owner.as_ref() != Some(&moving.to)
         });
         for state in self.owners.values_mut() {
-            let held = map.of_server(&state.owner.server);
+            let held = map.owned_by(&state.owner.server);
             state.retain_confirmed(&held.map(|h| (h.range, h.token)).collect::<Vec<_>>());
         }
     }
@@ -178,7 +178,7 @@
         refused: Vec<KeyRange>,
     ) {
         if let Some(state) = self.owners.get_mut(server) {
-            let pause = renew_every(self.map.held().len());
+            let pause = renew_every(self.map.assignments().len());
             state.on_round_end(now, outcome, last_call, confirmed, !refused.is_empty(), pause);
             if let Outcome::Opened(at) = outcome {
                 let token = &mut self.token;
@@ -223,7 +223,7 @@
         service: &ServiceName,
     ) -> Duration {
         let measured: Vec<Duration> =
-            servers.of(service).filter_map(|server| self.demand.work(&server.id)).collect();
+            servers.of(service).filter_map(|server| self.demand.service_time(&server.id)).collect();
         if measured.is_empty() {
             return ASSUMED_WORK;
         }
@@ -254,7 +254,7 @@
     }
 
     fn advance_time(&mut self, view: View<'_>) {
-        self.demand.pass_time(view.now, |id| view.servers.get(id).map(|server| server.slots));
+        self.demand.advance(view.now, |id| view.servers.get(id).map(|server| server.slots));
         self.cooling_down.retain(|(until, _)| *until > view.now);
     }
 
@@ -262,7 +262,7 @@
     fn track_owners(&mut self) {
         let new: BTreeSet<Owner> = self
             .map
-            .held()
+            .assignments()
             .iter()
             .filter_map(|held| held.owner.as_ref())
             .filter(|owner| !self.owners.contains_key(&owner.server))
@@ -271,7 +271,7 @@
         for owner in new {
             self.track_owner(owner);
         }
-        let owners = self.map.held().iter().filter_map(|held| held.owner.as_ref());
+        let owners = self.map.assignments().iter().filter_map(|held| held.owner.as_ref());
         let moving = self.moves.iter().flat_map(|moving| [&moving.from, &moving.to]);
         let needed: BTreeSet<&ServerId> = owners.chain(moving).map(|owner| &owner.server).collect();
         self.owners.retain(|id, state| state.round_in_flight || needed.contains(id));
--- a/crates/jacinthbeam-range/src/grantor/leading/plan.rs
+++ b/crates/jacinthbeam-range/src/grantor/leading/plan.rs
@@ -15,7 +15,7 @@
         timing::{BALANCE_EVERY, moves_at_once, releases_at_once},
     },
     key::KeyRange,
-    map::{Held, Map},
+    map::{Assignment, Map},
 };
 
 impl Leading {
@@ -24,7 +24,7 @@
         let candidates = candidates(self, view, service);
         let leaving: Vec<KeyRange> = self
             .map
-            .held()
+            .assignments()
             .iter()
             .filter(|held| self.is_leaving(held, view.servers) && !self.is_moving(held.range))
             .map(|held| held.range)
@@ -50,7 +50,7 @@
                 .chain(self.cooling_down.iter().map(|(_, range)| *range))
                 .collect();
             let most = moves_at_once(candidates.len()).min(room);
-            let moves = balance::relieve(
+            let moves = balance::rebalance(
                 &self.expected(),
                 &self.demand.rates(&self.map),
                 &candidates,
@@ -80,7 +80,7 @@
     }
 
     /// Whether the owner can still be asked to give the range up, and should be.
-    pub(super) fn is_leaving(&self, held: &Held, servers: &Servers) -> bool {
+    pub(super) fn is_leaving(&self, held: &Assignment, servers: &Servers) -> bool {
         let Some(owner) = &held.owner else { return false };
         let id = &owner.server;
         if servers.takes_work(id) || !self.is_usable(id) {
@@ -96,7 +96,7 @@
 
     pub(super) fn start(&mut self, moves: impl Iterator<Item = Move>) {
         for Move { range, to } in moves {
-            let held = self.map.of(range.first);
+            let held = self.map.lookup(range.first);
             let Some(from) = held.owner.clone().filter(|from| *from != to) else { continue };
             let token = self.next_token();
             self.moves.push(PendingMove { range, from, to, token, stage: Stage::Waiting });
--- a/crates/jacinthbeam-range/src/grantor/leading/record.rs
+++ b/crates/jacinthbeam-range/src/grantor/leading/record.rs
@@ -15,7 +15,7 @@
         timing::MERGE_ABOVE_RANGES_PER_OWNER,
     },
     key::KeyRange,
-    map::{Held, Map, Owner},
+    map::{Assignment, Map, Owner},
 };
 
 impl Leading {
@@ -46,7 +46,7 @@
     fn may_have_changes(&self, view: View<'_>) -> bool {
         let is_free = |moving: &PendingMove| matches!(moving.stage, Stage::Free(_));
         let is_lost = |state: &OwnerState| state.given_up || state.ended;
-        let has_unowned = || self.map.held().iter().any(|held| held.owner.is_none());
+        let has_unowned = || self.map.assignments().iter().any(|held| held.owner.is_none());
         let has_successor = |id: &ServerId| view.servers.successor_of(id).is_some();
         !self.refused.is_empty()
             || !self.in_doubt.is_empty()
@@ -88,7 +88,7 @@
             let life = servers.successor_of(&id).filter(|life| !life.draining);
             let Some(life) = life else { continue };
             let owner = Owner { server: life.id.clone(), addr: life.addr };
-            let ranges: Vec<KeyRange> = self.map.of_server(&id).map(|held| held.range).collect();
+            let ranges: Vec<KeyRange> = self.map.owned_by(&id).map(|held| held.range).collect();
             let free: Vec<KeyRange> = ranges.into_iter().filter(|r| !self.is_moving(*r)).collect();
             for range in free {
                 map.assign(range, Some(owner.clone()), self.next_token(), None);
@@ -106,7 +106,7 @@
     ) -> bool {
         let mut lapsed = self.lapsed(view.now);
         // These have gone to the present life of their server.
-        lapsed.retain(|range| self.map.of(range.first).owner == map.of(range.first).owner);
+        lapsed.retain(|range| self.map.lookup(range.first).owner == map.lookup(range.first).owner);
         if lapsed.is_empty() {
             return false;
         }
@@ -137,8 +137,8 @@
         }
         let token = self.next_token();
         for range in open {
-            let Held { owner, .. } = map.of(range.first).clone();
-            if map.of(range.first).range.covers(range) {
+            let Assignment { owner, .. } = map.lookup(range.first).clone();
+            if map.lookup(range.first).range.covers(range) {
                 map.assign(range, owner, token, None);
             }
         }
@@ -147,14 +147,14 @@
 
     /// Joins neighbouring ranges of one owner under a new token, once there are many ranges.
     pub(super) fn merge_neighbours(&mut self, map: &mut Map) {
-        map.join_neighbours();
-        if map.held().len() <= MERGE_ABOVE_RANGES_PER_OWNER * self.owners.len() {
+        map.merge_adjacent();
+        if map.assignments().len() <= MERGE_ABOVE_RANGES_PER_OWNER * self.owners.len() {
             return;
         }
         for range in map.mergeable() {
-            let owner = map.of(range.first).owner.clone();
+            let owner = map.lookup(range.first).owner.clone();
             let all_confirmed =
-                map.held().iter().filter(|held| range.covers(held.range)).all(|held| {
+                map.assignments().iter().filter(|held| range.covers(held.range)).all(|held| {
                     let id = held.owner.as_ref().map(|owner| &owner.server);
                     let state = id.and_then(|id| self.owners.get(id));
                     state.is_some_and(|c| c.has_confirmed(held.range, held.token))
@@ -169,14 +169,14 @@
 
     /// Ranges of lost servers whose holds have run out. Nobody has them.
     pub(super) fn lapsed(&self, now: Instant) -> Vec<KeyRange> {
-        let free = |held: &&Held| {
+        let free = |held: &&Assignment| {
             let Some(owner) = &held.owner else { return true };
             self.owners.get(&owner.server).is_some_and(|state| {
                 let lost = state.given_up || state.ended;
                 lost && state.has_lapsed(now, self.predecessors_until)
             })
         };
-        let ranges = self.map.held().iter().filter(free).map(|held| held.range);
+        let ranges = self.map.assignments().iter().filter(free).map(|held| held.range);
         ranges.filter(|range| !self.is_moving(*range)).collect()
     }
 }
--- a/crates/jacinthbeam-range/src/grantor/leading/renew.rs
+++ b/crates/jacinthbeam-range/src/grantor/leading/renew.rs
@@ -9,7 +9,7 @@
     balance,
     grantor::{Action, RangeGrant, owner_state::OwnerState},
     key::KeyRange,
-    map::Held,
+    map::Assignment,
 };
 
 impl Leading {
@@ -26,8 +26,8 @@
         if now >= until {
             return Vec::new();
         }
-        let mut of_owner: BTreeMap<&ServerId, Vec<&Held>> = BTreeMap::new();
-        for held in self.map.held() {
+        let mut of_owner: BTreeMap<&ServerId, Vec<&Assignment>> = BTreeMap::new();
+        for held in self.map.assignments() {
             if let Some(owner) = &held.owner {
                 of_owner.entry(&owner.server).or_default().push(held);
             }
@@ -44,7 +44,7 @@
         if !self.owners.get(server).is_some_and(|state| self.may_begin(state)) {
             return None;
         }
-        let held: Vec<&Held> = self.map.of_server(server).collect();
+        let held: Vec<&Assignment> = self.map.owned_by(server).collect();
         let (_, grants) = self.round(server, &held, now)?;
         let until = self.may_grant_until();
         if now >= until {
@@ -57,7 +57,7 @@
     fn round(
         &self,
         server: &ServerId,
-        held: &[&Held],
+        held: &[&Assignment],
         now: Instant,
     ) -> Option<(ServerId, Vec<RangeGrant>)> {
         let grants = self.grants_due(self.owners.get(server)?, held, now);
@@ -86,7 +86,7 @@
     pub(super) fn grants_due(
         &self,
         state: &OwnerState,
-        held: &[&Held],
+        held: &[&Assignment],
         now: Instant,
     ) -> Vec<RangeGrant> {
         if !self.may_begin(state) {
@@ -118,6 +118,6 @@
     /// What of a range is not on its way to another owner.
     pub(super) fn unmoved_parts(&self, range: KeyRange) -> Vec<KeyRange> {
         let moving = self.moves.iter().map(|m| m.range).filter(|moving| moving.overlaps(range));
-        balance::without(range, &moving.collect::<Vec<_>>())
+        balance::subtract(range, &moving.collect::<Vec<_>>())
     }
 }
--- a/crates/jacinthbeam-range/src/grantor/mod.rs
+++ b/crates/jacinthbeam-range/src/grantor/mod.rs
@@ -110,7 +110,7 @@
         let mean = leading.mean_work(view.servers, &self.service);
         let servers = view.servers.iter().filter(|server| server.service == self.service);
         let gate = |server: &Server| {
-            let work = leading.demand.work(&server.id).unwrap_or(mean);
+            let work = leading.demand.service_time(&server.id).unwrap_or(mean);
             let load = leading.demand.load(&server.id, server.slots, work)?;
             Some((server.id.clone(), admission::gate(&load, objective)?))
         };
@@ -297,7 +297,7 @@
         let slots: u32 = servers.iter().map(|server| server.slots).sum();
         let mut below = 0;
         for server in &servers {
-            let at = |slots_below: u32| crate::key::KEYS * slots_below / slots;
+            let at = |slots_below: u32| crate::key::KEY_COUNT * slots_below / slots;
             let (first, end) = (at(below), at(below + server.slots));
             below += server.slots;
             let Some(range) = KeyRange::new(first as u16, end.saturating_sub(1) as u16) else {
@@ -320,7 +320,7 @@
         servers.partition(|server| server.is_cold() && server.cold_rate.is_some());
     let mean = leading.mean_work(view.servers, service);
     let candidate = |server: &Server| {
-        let work = leading.demand.work(&server.id).unwrap_or(mean);
+        let work = leading.demand.service_time(&server.id).unwrap_or(mean);
         let owner = Owner { server: server.id.clone(), addr: server.addr };
         let capacity = f64::from(server.slots) / work.as_secs_f64().max(0.001);
         let cold = server.is_cold();
@@ -334,5 +334,5 @@
 /// What a cold server is given: less than its share, and no more than it takes.
 fn cold_capacity(server: &Server, warm: f64) -> f64 {
     let most = server.cold_rate.map_or(f64::INFINITY, Rate::per_second);
-    (warm * balance::COLD_SHARE).min(most)
+    (warm * balance::COLD_CAPACITY_SHARE).min(most)
 }
--- a/crates/jacinthbeam-range/src/lib.rs
+++ b/crates/jacinthbeam-range/src/lib.rs
@@ -16,4 +16,4 @@
 
 pub use grantor::{Action, Event, Grantor};
 pub use key::{Key, KeyRange};
-pub use map::{Held, Leader, Map, Owner};
+pub use map::{Assignment, Leader, Map, Owner};
--- a/crates/jacinthbeam-range/tests/load.rs
+++ b/crates/jacinthbeam-range/tests/load.rs
@@ -4,9 +4,9 @@
 
 use jacinthbeam_range::{
     Key, KeyRange, Map, Owner,
-    admission::{Gate, Load, gate},
-    balance::{Candidate, imbalance, place, relieve},
-    demand::{Demand, Report, Work},
+    admission::{Gate, OwnerLoad, gate},
+    balance::{Candidate, imbalance, place, rebalance},
+    demand::{Demand, LoadReport, ServerReport},
 };
 use jacinthbeam_types::prelude::*;
 
@@ -27,7 +27,7 @@
 /// Twenty owners with the same number of keys each.
 fn even() -> Map {
     let mut map = Map::unowned();
-    for (n, range) in KeyRange::ALL.cut(OWNERS).into_iter().enumerate() {
+    for (n, range) in KeyRange::ALL.split_evenly(OWNERS).into_iter().enumerate() {
         map.assign(range, Some(owner(n as u32)), Token(1), None);
     }
     map
@@ -36,7 +36,7 @@
 /// Four seconds of the sheet's lookups: 137 a second, a third of them for 200 keys that lie side by side.
 fn hot(first: u16) -> Demand {
     let mut rng = fastrand::Rng::with_seed(7);
-    let mut report = Report::default();
+    let mut report = LoadReport::default();
     for n in 0..548 {
         let key = if n % 3 == 0 { first + rng.u16(0..200) } else { rng.u16(..) };
         *report.earlier.entry(Key(key)).or_default() += 1;
@@ -51,8 +51,9 @@
 }
 
 fn width(map: &Map, was: &Map) -> u32 {
-    let moved = |held: &&jacinthbeam_range::Held| was.of(held.range.first).owner != held.owner;
-    map.held().iter().filter(moved).map(|held| held.range.width()).sum()
+    let moved =
+        |held: &&jacinthbeam_range::Assignment| was.lookup(held.range.first).owner != held.owner;
+    map.assignments().iter().filter(moved).map(|held| held.range.width()).sum()
 }
 
 /// An even division gives the hot keys to one owner, which has seven times the mean. Narrow windows of them are enough to
@@ -64,7 +65,7 @@
     assert!(busiest(&map, &demand) > 6.0);
     let mut rounds = 0;
     loop {
-        let moves = relieve(&map, &demand.rates(&map), &candidates(0..OWNERS), &[], 8);
+        let moves = rebalance(&map, &demand.rates(&map), &candidates(0..OWNERS), &[], 8);
         if moves.is_empty() {
             break;
         }
@@ -83,11 +84,11 @@
 #[test]
 fn an_even_load_moves_nothing() {
     let mut rng = fastrand::Rng::with_seed(3);
-    let mut report = Report::default();
+    let mut report = LoadReport::default();
     (0..548).for_each(|_| *report.earlier.entry(Key(rng.u16(..))).or_default() += 1);
     let mut demand = Demand::default();
     demand.add(&"h".parse().unwrap(), Instant::now(), &report);
-    assert_eq!(relieve(&even(), &demand.rates(&even()), &candidates(0..OWNERS), &[], 8), []);
+    assert_eq!(rebalance(&even(), &demand.rates(&even()), &candidates(0..OWNERS), &[], 8), []);
 }
 
 /// The owner of the hot keys leaves. Given to others by width alone, all hot keys would go to one of them, which then has
@@ -95,7 +96,7 @@
 #[test]
 fn a_leaving_owner_s_load_goes_to_many() {
     let (mut map, demand) = (even(), hot(20_000));
-    let leaving = map.of(Key(20_000)).clone();
+    let leaving = map.lookup(Key(20_000)).clone();
     let others: Vec<Candidate> = candidates(0..OWNERS)
         .into_iter()
         .filter(|c| Some(&c.owner) != leaving.owner.as_ref())
@@ -115,12 +116,12 @@
     let mut now = from;
     for step in 0..seconds * 4 {
         now += Duration::from_millis(250);
-        let mut report = Report::default();
+        let mut report = LoadReport::default();
         (0..12).for_each(|_| *report.keys.entry(Key(rng.u16(..))).or_default() += 1);
         if let Some(key) = hot {
             report.keys.insert(key, if step % 4 == 0 { 6 } else { 7 });
         }
-        demand.pass_time(now, |_| Some(3));
+        demand.advance(now, |_| Some(3));
         demand.add(&"h".parse().unwrap(), now, &report);
     }
     now
@@ -130,7 +131,7 @@
 
 /// Asks for a key seven times more, at once.
 fn ask_more(demand: &mut Demand, key: Key) {
-    let report = Report { earlier: [(key, 7)].into(), ..Report::default() };
+    let report = LoadReport { earlier: [(key, 7)].into(), ..LoadReport::default() };
     demand.add(&"h".parse().unwrap(), Instant::now(), &report);
 }
 
@@ -145,7 +146,7 @@
     let begun = ask(&mut demand, Instant::now(), 8, None);
     ask(&mut demand, begun, 1, Some(HOT));
     let rates = demand.rates(&even());
-    let share = rates.of(KeyRange { first: HOT, last: HOT }) / rates.total();
+    let share = rates.count_in(KeyRange { first: HOT, last: HOT }) / rates.total();
     assert!(share > HOT_SHARE * 0.6, "{share} of the load in place of {HOT_SHARE}");
 }
 
@@ -156,7 +157,7 @@
     let begun = ask(&mut demand, Instant::now(), 8, Some(HOT));
     ask(&mut demand, begun, 3, None);
     let rates = demand.rates(&even());
-    let share = rates.of(KeyRange { first: HOT, last: HOT }) / rates.total();
+    let share = rates.count_in(KeyRange { first: HOT, last: HOT }) / rates.total();
     assert!(share < HOT_SHARE * 0.2, "{share} of the load in place of none");
 }
 
@@ -166,16 +167,16 @@
 fn what_is_told_of_earlier_seconds_is_no_burst() {
     let (map, mut demand) = (even(), Demand::default());
     let earlier = (0..548).map(|n| (Key(n * 119), 1)).collect();
-    let report = Report { earlier, ..Report::default() };
+    let report = LoadReport { earlier, ..LoadReport::default() };
     demand.add(&"h".parse().unwrap(), Instant::now(), &report);
     let total = demand.rates(&map).total();
     assert!((total - 548.0).abs() < 1.0, "{total}");
 
     // A burst that begins at that moment is seen as one. Were the earlier seconds part of the present, it would look small beside them.
-    let burst = Report { keys: [(HOT, 40)].into(), ..Report::default() };
+    let burst = LoadReport { keys: [(HOT, 40)].into(), ..LoadReport::default() };
     demand.add(&"h".parse().unwrap(), Instant::now(), &burst);
     let rates = demand.rates(&map);
-    let share = rates.of(KeyRange { first: HOT, last: HOT }) / rates.total();
+    let share = rates.count_in(KeyRange { first: HOT, last: HOT }) / rates.total();
     assert!(share > 0.15, "{share} of the load");
 }
 
@@ -190,11 +191,11 @@
         let now = begun + Duration::from_millis(250) * step;
         let part = if step < 32 { 1 } else { 2 };
         let keys = [(busy, 200 / part), (calm, 2 / part)].into();
-        demand.pass_time(now, |_| Some(3));
-        demand.add(&h, now, &Report { keys, ..Report::default() });
+        demand.advance(now, |_| Some(3));
+        demand.add(&h, now, &LoadReport { keys, ..LoadReport::default() });
     }
     let rates = demand.rates(&even());
-    let count = |key| rates.of(KeyRange { first: key, last: key });
+    let count = |key| rates.count_in(KeyRange { first: key, last: key });
     let ratio = count(busy) / count(calm);
     assert!((90.0..110.0).contains(&ratio), "{ratio}");
 }
@@ -206,7 +207,7 @@
     let mut demand = Demand::default();
     ask(&mut demand, Instant::now(), 8, Some(HOT));
     let (map, mut all) = (even(), candidates(0..OWNERS));
-    let slow = map.of(HOT).owner.clone();
+    let slow = map.lookup(HOT).owner.clone();
     let at = |owner: u32| owner as usize;
     all.iter_mut().for_each(|c| {
         if Some(&c.owner) == slow.as_ref() {
@@ -214,14 +215,14 @@
         }
     });
     all[at(3)].capacity = 17.0;
-    let moves = relieve(&map, &demand.rates(&map), &all, &[], 8);
+    let moves = rebalance(&map, &demand.rates(&map), &all, &[], 8);
     let to: Vec<&Owner> = moves.iter().filter(|m| m.range.contains(HOT)).map(|m| &m.to).collect();
     assert_eq!(to, [&owner(3)]);
     // A fast server that has a hot key of its own has no room for another.
     let other = Key(3 * 3277 + 5);
     let mut two = demand.clone();
     (0..8).for_each(|_| ask_more(&mut two, other));
-    let moves = relieve(&map, &two.rates(&map), &all, &[], 8);
+    let moves = rebalance(&map, &two.rates(&map), &all, &[], 8);
     assert!(moves.iter().all(|m| !m.range.contains(HOT) || m.to != owner(3)), "{moves:?}");
     // An owner that is hardly slower keeps it.
     all.iter_mut().for_each(|c| {
@@ -229,7 +230,7 @@
             c.capacity = 13.0
         }
     });
-    let moves = relieve(&map, &demand.rates(&map), &all, &[], 8);
+    let moves = rebalance(&map, &demand.rates(&map), &all, &[], 8);
     assert!(moves.iter().all(|m| !m.range.contains(HOT)), "{moves:?}");
 }
 
@@ -244,19 +245,25 @@
             let now = begun + Duration::from_millis(250) * step;
             // Three slots at 0.2 s each give 15 answers a second; every fourth report has 3, the others 4.
             let answers = if step % 4 == 0 { 3 } else { 4 };
-            let work = Work { answers, in_flight: present };
-            let report = Report { servers: [(s.clone(), work)].into(), ..Report::default() };
-            demand.pass_time(now, |_| Some(3));
+            let work = ServerReport { answers, in_flight: present };
+            let report =
+                LoadReport { servers: [(s.clone(), work)].into(), ..LoadReport::default() };
+            demand.advance(now, |_| Some(3));
             demand.add(&h, now, &report);
         }
-        let work = demand.work(&s).unwrap().as_secs_f64();
+        let work = demand.service_time(&s).unwrap().as_secs_f64();
         assert!((work - 0.2).abs() < 0.02, "{work} s with {present} present");
     }
 }
 
-fn asked(present: f64, rates: &[(u32, f64)]) -> Load {
-    let (slots, work) = (3, Duration::from_millis(220));
-    Load { slots, work, present, rates: rates.iter().copied().collect() }
+fn asked(present: f64, rates: &[(u32, f64)]) -> OwnerLoad {
+    let (slots, service_time) = (3, Duration::from_millis(220));
+    OwnerLoad {
+        slots,
+        service_time,
+        in_flight: present,
+        arrival_rates: rates.iter().copied().collect(),
+    }
 }
 
 const OBJECTIVE: Duration = Duration::from_millis(600);
@@ -281,8 +288,8 @@
 fn urgent_requests_are_let_in_before_others() {
     let gate = gate(&asked(6.5, &[(0, 8.0), (2, 20.0)]), OBJECTIVE).unwrap();
     assert_eq!(gate.rank, 2);
-    assert!(gate.lets_in(0, 0.99) && gate.lets_in(2, 0.1) && !gate.lets_in(2, 0.9));
-    assert!(!Gate { rank: 0, share: 1.0 }.lets_in(2, 0.0));
+    assert!(gate.admits(0, 0.99) && gate.admits(2, 0.1) && !gate.admits(2, 0.9));
+    assert!(!Gate { rank: 0, share: 1.0 }.admits(2, 0.0));
 }
 
 /// The pattern: many servers of a large service leave one after the other. Each range that changes its owner is one more to renew, and
@@ -290,7 +297,7 @@
 #[test]
 fn what_a_server_leaves_is_cut_less_among_many() {
     let (map, demand) = (even(), hot(20_000));
-    let held = map.held().iter().max_by_key(|held| held.range.width()).unwrap();
+    let held = map.assignments().iter().max_by_key(|held| held.range.width()).unwrap();
     let pieces = |owners| {
         let others = candidates(1..owners);
         place(&map, &demand.rates(&map), &others, &[held.range]).len()
--- a/crates/jacinthbeam-range/tests/onset.rs
+++ b/crates/jacinthbeam-range/tests/onset.rs
@@ -13,8 +13,8 @@
 
 use jacinthbeam_range::{
     Key, KeyRange, Map, Owner,
-    balance::{Candidate, Move, relieve},
-    demand::{Demand, Report},
+    balance::{Candidate, Move, rebalance},
+    demand::{Demand, LoadReport},
     grantor::timing::moves_at_once,
 };
 use jacinthbeam_types::prelude::*;
@@ -62,7 +62,7 @@
     rng: fastrand::Rng,
     map: Map,
     demand: Demand,
-    report: Report,
+    report: LoadReport,
     waiting: BTreeMap<ServerId, f64>,
     candidates: Vec<Candidate>,
     /// Requests for keys that are on their way.
@@ -84,7 +84,7 @@
         });
         let candidates = candidates.collect();
         let mut map = Map::unowned();
-        for (n, range) in KeyRange::ALL.cut(load.owners).into_iter().enumerate() {
+        for (n, range) in KeyRange::ALL.split_evenly(load.owners).into_iter().enumerate() {
             map.assign(range, Some(owner(n as u32)), Token(1), None);
         }
         Self {
@@ -93,7 +93,7 @@
             rng,
             map,
             demand: Demand::default(),
-            report: Report::default(),
+            report: LoadReport::default(),
             waiting: BTreeMap::new(),
             candidates,
             held: Vec::new(),
@@ -139,7 +139,7 @@
     }
 
     fn send(&mut self, key: Key) {
-        let owner = self.map.of(key).owner.as_ref().expect("every key has an owner");
+        let owner = self.map.lookup(key).owner.as_ref().expect("every key has an owner");
         let waiting = self.waiting.entry(owner.server.clone()).or_default();
         if *waiting + 1.0 > ROOM {
             self.refused += 1;
@@ -183,7 +183,7 @@
     }
 
     fn balance(&mut self) {
-        self.demand.pass_time(self.now, |_| Some(3));
+        self.demand.advance(self.now, |_| Some(3));
         let mut expected = self.map.clone();
         for (_, Move { range, to }) in &self.under_way {
             expected.assign(*range, Some(to.clone()), Token(2), None);
@@ -196,9 +196,10 @@
             .collect();
         let rates = self.demand.rates(&self.map);
         let most = moves_at_once(self.candidates.len());
-        let moves = relieve(&expected, &rates, &self.candidates, &fixed, most);
+        let moves = rebalance(&expected, &rates, &self.candidates, &fixed, most);
         for change in moves {
-            let from = self.map.of(change.range.first).owner.as_ref().expect("every key has one");
+            let from =
+                self.map.lookup(change.range.first).owner.as_ref().expect("every key has one");
             let done = self.now + MOVE_TAKES + self.drains_in(&from.server);
             self.under_way.push((done, change));
         }
@@ -259,7 +260,7 @@
     play.pass(6.0, &[]);
     let hot: Vec<u16> = (20_000..20_200).collect();
     play.pass(2.5, &hot);
-    let owner = |key: &u16| play.map.of(Key(*key)).owner.as_ref().map(|owner| &owner.server);
+    let owner = |key: &u16| play.map.lookup(Key(*key)).owner.as_ref().map(|owner| &owner.server);
     let owners: BTreeSet<_> = hot.iter().filter_map(owner).collect();
     assert!(owners.len() >= hot.len() / 2, "{} owners of {} hot keys", owners.len(), hot.len());
 }
