--- a/crates/jacinthbeam-dispatch/src/choose.rs
+++ b/crates/jacinthbeam-dispatch/src/choose.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use crate::Seen;
+use crate::ServerStats;
 
 /// A server that could take the request.
 #[derive(Debug)]
@@ -10,7 +10,7 @@
     /// Who it is.
     pub id: &'a Id,
     /// What was seen of it.
-    pub seen: &'a Seen,
+    pub stats: &'a ServerStats,
     /// Requests that it works on at a time.
     pub slots: u32,
     /// Whether it runs in this host's failure domain.
@@ -57,7 +57,7 @@
 }
 
 fn cost<Id>(candidate: &Candidate<'_, Id>, now: Instant) -> Duration {
-    let seen = candidate.seen;
+    let seen = candidate.stats;
     let looks = candidate.near && candidate.familiar;
     let mut cost = seen.expected(now, candidate.slots, looks);
     if !candidate.familiar {
--- a/crates/jacinthbeam-dispatch/src/lib.rs
+++ b/crates/jacinthbeam-dispatch/src/lib.rs
@@ -12,4 +12,4 @@
 pub mod slow_start;
 
 pub use budget::Budget;
-pub use server::Seen;
+pub use server::ServerStats;
--- a/crates/jacinthbeam-dispatch/src/server.rs
+++ b/crates/jacinthbeam-dispatch/src/server.rs
@@ -33,7 +33,7 @@
 
 /// Observations of one server, by one host.
 #[derive(Debug, Clone)]
-pub struct Seen {
+pub struct ServerStats {
     /// When each request began that this host has at the server now, ascending.
     begun: Vec<Instant>,
     /// When the last request began, or the server was first heard of.
@@ -47,7 +47,7 @@
     avoided_until: Option<Instant>,
 }
 
-impl Default for Seen {
+impl Default for ServerStats {
     fn default() -> Self {
         Self {
             begun: Vec::new(),
@@ -62,7 +62,7 @@
     }
 }
 
-impl Seen {
+impl ServerStats {
     /// Nothing is known of a server that is heard of now.
     pub fn new(now: Instant) -> Self {
         Self { asked: Some(now), ..Self::default() }
--- a/crates/jacinthbeam-dispatch/tests/choose.rs
+++ b/crates/jacinthbeam-dispatch/tests/choose.rs
@@ -3,18 +3,18 @@
 use std::time::{Duration, Instant};
 
 use jacinthbeam_dispatch::{
-    Seen,
+    ServerStats,
     choose::{Candidate, best},
 };
 
 const WORK: Duration = Duration::from_millis(290);
 
-fn candidate<'a>(id: &'a u32, seen: &'a Seen) -> Candidate<'a, u32> {
-    Candidate { id, seen, slots: 3, near: true, familiar: true, cold: false }
+fn candidate<'a>(id: &'a u32, seen: &'a ServerStats) -> Candidate<'a, u32> {
+    Candidate { id, stats: seen, slots: 3, near: true, familiar: true, cold: false }
 }
 
-fn usual() -> Seen {
-    let mut seen = Seen::default();
+fn usual() -> ServerStats {
+    let mut seen = ServerStats::default();
     (0..20).for_each(|_| seen.on_answer(WORK));
     seen
 }
@@ -82,13 +82,13 @@
 fn new_servers_are_tried_while_the_others_have_room() {
     let begun = Instant::now();
     let mut rng = fastrand::Rng::with_seed(3);
-    let mut servers: Vec<Seen> = (0..6).map(|_| Seen::new(begun)).collect();
+    let mut servers: Vec<ServerStats> = (0..6).map(|_| ServerStats::new(begun)).collect();
     let mut first: Vec<Option<u64>> = vec![None; 6];
     for ms in (0..6000).step_by(40) {
         let now = begun + Duration::from_millis(ms);
         let known = if ms < 2000 { 4 } else { 6 };
         if ms == 2000 {
-            servers[4..].iter_mut().for_each(|seen| *seen = Seen::new(now));
+            servers[4..].iter_mut().for_each(|seen| *seen = ServerStats::new(now));
         }
         let ids: Vec<u32> = (0..known as u32).collect();
         let candidates = ids.iter().zip(&servers).map(|(id, seen)| candidate(id, seen));
--- a/crates/jacinthbeam-dispatch/tests/load.rs
+++ b/crates/jacinthbeam-dispatch/tests/load.rs
@@ -16,7 +16,7 @@
 };
 
 use jacinthbeam_dispatch::{
-    Seen,
+    ServerStats,
     choose::{Candidate, best},
     familiar::{Place, is_familiar},
 };
@@ -85,7 +85,7 @@
     epoch: Instant,
     now: f64,
     servers: Vec<Server>,
-    seen: Vec<Vec<Seen>>,
+    seen: Vec<Vec<ServerStats>>,
     /// Requests at each server as last exchanged, and each host's own among them.
     told: Vec<(usize, Vec<usize>)>,
     exchanged: f64,
@@ -103,7 +103,9 @@
             epoch: Instant::now(),
             now: 0.0,
             servers: (0..count).map(|_| Server::default()).collect(),
-            seen: (0..sheet.hosts).map(|_| (0..count).map(|_| Seen::default()).collect()).collect(),
+            seen: (0..sheet.hosts)
+                .map(|_| (0..count).map(|_| ServerStats::default()).collect())
+                .collect(),
             told: (0..count).map(|_| (0, vec![0; sheet.hosts])).collect(),
             exchanged: 0.0,
             in_time: 0,
@@ -163,7 +165,7 @@
         let now = self.at(self.now);
         let ids: Vec<usize> = (0..self.sheet.servers).filter(|n| !tried.contains(n)).collect();
         // What others have there is entered as requests that have just begun, which is all that the rule needs of them.
-        let seen: BTreeMap<usize, Seen> = ids
+        let seen: BTreeMap<usize, ServerStats> = ids
             .iter()
             .map(|n| {
                 let mut seen = self.seen[host][*n].clone();
@@ -174,7 +176,7 @@
         let (way, sheet) = (self.way, self.sheet);
         let candidates = seen.iter().map(|(id, seen)| Candidate {
             id,
-            seen,
+            stats: seen,
             slots: SLOTS as u32,
             near: true,
             familiar: way.asks_first(sheet, host, *id),
--- a/crates/jacinthbeam-host/src/process/traffic.rs
+++ b/crates/jacinthbeam-host/src/process/traffic.rs
@@ -13,7 +13,7 @@
 use jacinthbeam_crash::{
     Fact, Fingerprint, Prober, RecentAnswers, Suspects, fingerprint::Head, probe::Rank,
 };
-use jacinthbeam_dispatch::{Budget, Seen, slow_start::Pacer};
+use jacinthbeam_dispatch::{Budget, ServerStats, slow_start::Pacer};
 use jacinthbeam_range::{Key, admission::Gate, demand::Report};
 use jacinthbeam_route::{Route, Server, Target, route::Dealer};
 use jacinthbeam_types::prelude::*;
@@ -67,7 +67,7 @@
     /// Connections.
     pub pool: Pool,
     /// Observations.
-    pub seen: RefCell<Seen>,
+    pub stats: RefCell<ServerStats>,
     /// Another server has answered at the address, so that this one has ended.
     pub ended: Cell<bool>,
     /// Requests whose connections to it broke.
@@ -184,10 +184,10 @@
     pub fn server(&self, server: &Server) -> Rc<ServerState> {
         let mut servers = self.servers.borrow_mut();
         let new = || {
-            let seen = RefCell::new(Seen::new(self.now()));
+            let stats = RefCell::new(ServerStats::new(self.now()));
             let (pool, ended) = (Pool::new(server.addr), Cell::default());
             let pacer = Cell::default();
-            Rc::new(ServerState { pool, seen, ended, broken: Broken::default(), pacer })
+            Rc::new(ServerState { pool, stats, ended, broken: Broken::default(), pacer })
         };
         servers.entry(server.id.clone()).or_insert_with(new).clone()
     }
@@ -240,7 +240,7 @@
             let owners = map.held().iter().filter_map(|held| held.owner.as_ref());
             for owner in owners {
                 let Some(state) = servers.get(&owner.server) else { continue };
-                let in_flight = state.seen.borrow().in_flight();
+                let in_flight = state.stats.borrow().in_flight();
                 if in_flight > 0 {
                     let report = reports.entry(service.clone()).or_default();
                     report.servers.entry(owner.server.clone()).or_default().in_flight = in_flight;
@@ -264,7 +264,7 @@
     /// Requests that this host has at a server.
     pub fn in_flight(&self, server: &ServerId) -> u32 {
         let servers = self.servers.borrow();
-        servers.get(server).map_or(0, |state| state.seen.borrow().in_flight())
+        servers.get(server).map_or(0, |state| state.stats.borrow().in_flight())
     }
 
     /// Whether one more repeat is within the budget; takes it if so.
@@ -338,14 +338,14 @@
         servers.retain(|id, state| {
             state.pool.expire(now);
             let known = view.servers.get(id).is_some() || view.leaving.contains_key(id);
-            known || state.seen.borrow().in_flight() > 0
+            known || state.stats.borrow().in_flight() > 0
         });
     }
 
     /// What was seen of each server, for the dump.
-    pub fn seen(&self) -> Vec<(ServerId, Seen, u32)> {
+    pub fn seen(&self) -> Vec<(ServerId, ServerStats, u32)> {
         let servers = self.servers.borrow();
-        let seen = |state: &ServerState| (state.seen.borrow().clone(), state.pool.open_count());
+        let seen = |state: &ServerState| (state.stats.borrow().clone(), state.pool.open_count());
         servers
             .iter()
             .map(|(id, state)| {
--- a/crates/jacinthbeam-host/src/request/pick.rs
+++ b/crates/jacinthbeam-host/src/request/pick.rs
@@ -67,10 +67,10 @@
         .map(|(server, familiar)| (server, familiar, job.traffic.server(server)))
         .filter(|(server, _, state)| !state.ended.get() && may_warm_up(view, server, state, now));
     let states: Vec<(&Server, bool, Rc<ServerState>)> = states.collect();
-    let seen: Vec<_> = states.iter().map(|(_, _, state)| state.seen.borrow()).collect();
+    let seen: Vec<_> = states.iter().map(|(_, _, state)| state.stats.borrow()).collect();
     let candidates = states.iter().zip(&seen).map(|((server, familiar, _), seen)| Candidate {
         id: *server,
-        seen,
+        stats: seen,
         slots: server.slots,
         near: server.domain == *domain,
         familiar: *familiar,
--- a/crates/jacinthbeam-host/src/request/send.rs
+++ b/crates/jacinthbeam-host/src/request/send.rs
@@ -51,14 +51,14 @@
 
 impl InFlight {
     fn new(state: Rc<ServerState>, begun: Instant) -> Self {
-        state.seen.borrow_mut().begin(begun);
+        state.stats.borrow_mut().begin(begun);
         Self(state, begun)
     }
 }
 
 impl Drop for InFlight {
     fn drop(&mut self) {
-        self.0.seen.borrow_mut().end(self.1);
+        self.0.stats.borrow_mut().end(self.1);
     }
 }
 
@@ -83,7 +83,7 @@
 
 fn observe(traffic: &Traffic, state: &ServerState, sent: &Sent, begun: Instant) {
     let now = traffic.now();
-    let mut seen = state.seen.borrow_mut();
+    let mut seen = state.stats.borrow_mut();
     match sent {
         Sent::Answered { good: true, .. } => seen.on_answer(now.saturating_duration_since(begun)),
         Sent::Answered { good: false, .. } => seen.on_error(),
