--- a/crates/jacinthbeam-dispatch/src/choose.rs
+++ b/crates/jacinthbeam-dispatch/src/choose.rs
@@ -16,7 +16,7 @@
     /// Whether it runs in this host's failure domain.
     pub near: bool,
     /// Whether it is one of those that this host asks first.
-    pub familiar: bool,
+    pub in_subset: bool,
     /// Whether it has just started and is slow for a while.
     pub cold: bool,
 }
@@ -58,9 +58,9 @@
 
 fn cost<Id>(candidate: &Candidate<'_, Id>, now: Instant) -> Duration {
     let seen = candidate.stats;
-    let looks = candidate.near && candidate.familiar;
+    let looks = candidate.near && candidate.in_subset;
     let mut cost = seen.expected(now, candidate.slots, looks);
-    if !candidate.familiar {
+    if !candidate.in_subset {
         cost += UNFAMILIAR;
     }
     if candidate.cold {
--- a/crates/jacinthbeam-dispatch/src/lib.rs
+++ b/crates/jacinthbeam-dispatch/src/lib.rs
@@ -6,10 +6,10 @@
 
 pub mod budget;
 pub mod choose;
-pub mod familiar;
 pub mod refusal;
 pub mod server;
 pub mod slow_start;
+pub mod subset;
 
 pub use budget::Budget;
 pub use server::ServerStats;
--- a/crates/jacinthbeam-dispatch/src/familiar.rs
+++ b/crates/jacinthbeam-dispatch/src/subset.rs
@@ -5,22 +5,22 @@
 //! their names, that begins at its own place among the hosts.
 
 /// Servers that a host asks first.
-pub const FEW: usize = 8;
+pub const SUBSET_SIZE: usize = 8;
 
 /// The place of a host among those that share the servers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Place {
+pub struct Position {
     /// Hosts before it.
-    pub of: u32,
+    pub index: u32,
     /// All hosts; 0 if they are not known.
-    pub among: u32,
+    pub hosts: u32,
 }
 
 /// Whether the server at `at` of `count` is one of those that the host asks first.
-pub fn is_familiar(at: usize, count: usize, place: Place) -> bool {
-    if count <= FEW || place.among == 0 {
+pub fn is_in_subset(at: usize, count: usize, place: Position) -> bool {
+    if count <= SUBSET_SIZE || place.hosts == 0 {
         return true;
     }
-    let first = place.of as usize * count / place.among as usize;
-    (at + count - first) % count < FEW
+    let first = place.index as usize * count / place.hosts as usize;
+    (at + count - first) % count < SUBSET_SIZE
 }
--- a/crates/jacinthbeam-dispatch/tests/choose.rs
+++ b/crates/jacinthbeam-dispatch/tests/choose.rs
@@ -10,7 +10,7 @@
 const WORK: Duration = Duration::from_millis(290);
 
 fn candidate<'a>(id: &'a u32, seen: &'a ServerStats) -> Candidate<'a, u32> {
-    Candidate { id, stats: seen, slots: 3, near: true, familiar: true, cold: false }
+    Candidate { id, stats: seen, slots: 3, near: true, in_subset: true, cold: false }
 }
 
 fn usual() -> ServerStats {
--- a/crates/jacinthbeam-dispatch/tests/load.rs
+++ b/crates/jacinthbeam-dispatch/tests/load.rs
@@ -18,7 +18,7 @@
 use jacinthbeam_dispatch::{
     ServerStats,
     choose::{Candidate, best},
-    familiar::{Place, is_familiar},
+    subset::{Position, is_in_subset},
 };
 
 /// A service, and the hosts that share it.
@@ -52,8 +52,8 @@
 impl Way {
     /// Whether a server is one that the host asks first. Where it asks all alike, each of them is.
     fn asks_first(self, sheet: Sheet, host: usize, n: usize) -> bool {
-        let place = Place { of: host as u32, among: sheet.hosts as u32 };
-        self != Self::Few || is_familiar(n, sheet.servers, place)
+        let place = Position { index: host as u32, hosts: sheet.hosts as u32 };
+        self != Self::Few || is_in_subset(n, sheet.servers, place)
     }
 }
 
@@ -179,7 +179,7 @@
             stats: seen,
             slots: SLOTS as u32,
             near: true,
-            familiar: way.asks_first(sheet, host, *id),
+            in_subset: way.asks_first(sheet, host, *id),
             cold: false,
         });
         best(candidates, now, || self.rng.f64()).copied()
--- a/crates/jacinthbeam-host/src/process/control/learn.rs
+++ b/crates/jacinthbeam-host/src/process/control/learn.rs
@@ -201,7 +201,7 @@
         let cold = self.cold_servers();
         let mut view = self.known.view();
         view.cold = Arc::new(cold);
-        view.place = self.known.place(&self.me.host);
+        view.subset_position = self.known.place(&self.me.host);
         view.rank = self.known.rank(&self.me.host);
         self.counters.evacuated.record(view.evacuated.len() as u64, &[]);
         self.counters.cold.record(view.cold.len() as u64, &[]);
--- a/crates/jacinthbeam-host/src/process/known/hosts.rs
+++ b/crates/jacinthbeam-host/src/process/known/hosts.rs
@@ -1,7 +1,7 @@
 //! The hosts of the fleet, and the place of one among them.
 
 use jacinthbeam_crash::probe::Rank;
-use jacinthbeam_dispatch::{familiar::Place, slow_start};
+use jacinthbeam_dispatch::{slow_start, subset::Position};
 use jacinthbeam_route::Server;
 use jacinthbeam_types::prelude::*;
 
@@ -25,11 +25,11 @@
     }
 
     /// The place of a host among those of its failure domain.
-    pub fn place(&self, host: &HostId) -> Place {
-        let Some((_, own)) = self.hosts.get(host) else { return Place::default() };
+    pub fn place(&self, host: &HostId) -> Position {
+        let Some((_, own)) = self.hosts.get(host) else { return Position::default() };
         let near = self.hosts.iter().filter(|(_, (_, entry))| entry.domain == own.domain);
         let among = near.clone().count() as u32;
-        Place { of: near.take_while(|(other, _)| *other < host).count() as u32, among }
+        Position { index: near.take_while(|(other, _)| *other < host).count() as u32, hosts: among }
     }
 
     /// Takes the record of a host. Returns whether it is newer.
--- a/crates/jacinthbeam-host/src/process/known/mod.rs
+++ b/crates/jacinthbeam-host/src/process/known/mod.rs
@@ -13,7 +13,7 @@
 };
 
 use jacinthbeam_crash::{Suspects, probe::Rank};
-use jacinthbeam_dispatch::familiar::Place;
+use jacinthbeam_dispatch::subset::Position;
 use jacinthbeam_range::Map;
 use jacinthbeam_route::{Config, Server, Servers};
 use jacinthbeam_types::prelude::*;
@@ -140,7 +140,7 @@
             cold: Arc::default(),
             maps: self.maps.iter().map(newest).collect(),
             hosts: self.hosts.len() as u32,
-            place: Place::default(),
+            subset_position: Position::default(),
             rank: Rank::default(),
             suspects: self.suspects.clone(),
         }
--- a/crates/jacinthbeam-host/src/request/pick.rs
+++ b/crates/jacinthbeam-host/src/request/pick.rs
@@ -7,7 +7,7 @@
 
 use jacinthbeam_dispatch::{
     choose::{self, Candidate},
-    familiar::is_familiar,
+    subset::is_in_subset,
 };
 use jacinthbeam_route::Server;
 use jacinthbeam_types::prelude::*;
@@ -73,7 +73,7 @@
         stats: seen,
         slots: server.slots,
         near: server.domain == *domain,
-        familiar: *familiar,
+        in_subset: *familiar,
         cold: server.is_cold(),
     });
     choose::best(candidates, now, fastrand::f64).map(|server| (*server).clone())
@@ -92,7 +92,7 @@
     let mut at = 0;
     let familiar = |server: &'a Server| {
         let counts = near == 0 || server.domain == *domain;
-        let familiar = counts && is_familiar(at, count, view.place);
+        let familiar = counts && is_in_subset(at, count, view.subset_position);
         at += usize::from(counts);
         (server, familiar)
     };
--- a/crates/jacinthbeam-host/src/version/view.rs
+++ b/crates/jacinthbeam-host/src/version/view.rs
@@ -7,7 +7,7 @@
 };
 
 use jacinthbeam_crash::{Suspects, probe::Rank};
-use jacinthbeam_dispatch::familiar::Place;
+use jacinthbeam_dispatch::subset::Position;
 use jacinthbeam_range::Map;
 use jacinthbeam_route::{Config, Servers};
 use jacinthbeam_types::prelude::*;
@@ -30,7 +30,7 @@
     /// Hosts that share the budget of repeats; 0 until they are known.
     pub hosts: u32,
     /// The place of this host among those of its failure domain.
-    pub place: Place,
+    pub subset_position: Position,
     /// The place of this host among them.
     pub rank: Rank,
     /// Requests under which servers have ended.
