--- a/crates/jacinthbeam-dispatch/src/budget.rs
+++ b/crates/jacinthbeam-dispatch/src/budget.rs
@@ -39,7 +39,7 @@
 
 /// This host's share of the budget of one service.
 #[derive(Debug)]
-pub struct Budget {
+pub struct RetryBudget {
     options: Options,
     /// Hosts among which the fixed number is divided; 0 while that is not known.
     hosts: u32,
@@ -55,7 +55,7 @@
     repeats: u32,
 }
 
-impl Budget {
+impl RetryBudget {
     /// A budget of which nothing is used at `now`, to be shared among `hosts`, or 0 if their number is not known.
     pub fn new(options: Options, hosts: u32, now: Instant) -> Self {
         Self { options, hosts, begun: now, parts: VecDeque::new() }
--- a/crates/jacinthbeam-dispatch/src/lib.rs
+++ b/crates/jacinthbeam-dispatch/src/lib.rs
@@ -11,5 +11,5 @@
 pub mod slow_start;
 pub mod subset;
 
-pub use budget::Budget;
+pub use budget::RetryBudget;
 pub use server::ServerStats;
--- a/crates/jacinthbeam-dispatch/src/refusal.rs
+++ b/crates/jacinthbeam-dispatch/src/refusal.rs
@@ -16,7 +16,7 @@
 const ROOM_IN: f64 = 0.25;
 
 /// When there should be room for a request with this objective that was refused for want of it.
-pub fn room_in(objective: Duration) -> Duration {
+pub fn overload_retry_delay(objective: Duration) -> Duration {
     objective.mul_f64(ROOM_IN)
 }
 
@@ -26,7 +26,7 @@
 /// Time after which there should be room, given when that is expected and how much time the caller has left.
 ///
 /// `random` is a number from 0 to 1.
-pub fn retry_after(room_in: Duration, left: Duration, random: f64) -> Duration {
-    let spread = room_in.max(SHORTEST).mul_f64(1.0 + SPREAD * random);
+pub fn retry_after(delay: Duration, left: Duration, random: f64) -> Duration {
+    let spread = delay.max(SHORTEST).mul_f64(1.0 + SPREAD * random);
     spread.min(left.mul_f64(HEEDED))
 }
--- a/crates/jacinthbeam-dispatch/tests/budget.rs
+++ b/crates/jacinthbeam-dispatch/tests/budget.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use arbtest::arbtest;
-use jacinthbeam_dispatch::budget::{Budget, Options};
+use jacinthbeam_dispatch::budget::{Options, RetryBudget};
 
 const ALL: Options = Options { ratio: 0.2, burst: 64.0, window: Duration::from_secs(10) };
 
@@ -15,7 +15,7 @@
     let mut repeats = 0;
     for _life in 0..2 {
         for _host in 0..12 {
-            let mut budget = Budget::new(ALL, 12, now);
+            let mut budget = RetryBudget::new(ALL, 12, now);
             repeats += (0..100).filter(|_| budget.take(now)).count();
         }
     }
@@ -27,7 +27,7 @@
 #[test]
 fn an_unknown_number_of_hosts_gives_no_fixed_part() {
     let begun = Instant::now();
-    let mut budget = Budget::new(ALL, 0, begun);
+    let mut budget = RetryBudget::new(ALL, 0, begun);
     assert!(!budget.take(begun));
     let at = |ms: u64| begun + Duration::from_millis(ms);
     (0..=20_000).step_by(400).for_each(|ms| budget.on_request(at(ms)));
@@ -39,7 +39,7 @@
 fn no_window_holds_more_repeats_than_allowed() {
     arbtest(|u| {
         let begun = Instant::now();
-        let mut budget = Budget::new(ALL, 12, begun);
+        let mut budget = RetryBudget::new(ALL, 12, begun);
         let (mut now, mut requests, mut repeats) = (begun, Vec::new(), Vec::new());
         while !u.is_empty() {
             now += Duration::from_millis(u.int_in_range(0..=400)?);
@@ -80,7 +80,7 @@
     rng: fastrand::Rng,
     now: Instant,
     fails: bool,
-    hosts: Vec<(Budget, u32)>,
+    hosts: Vec<(RetryBudget, u32)>,
     /// Requests and repeats of all hosts at each moment.
     sent: Vec<(Instant, usize, usize)>,
 }
@@ -88,7 +88,7 @@
 impl Fleet {
     fn new(seed: u64) -> Self {
         let now = Instant::now();
-        let hosts = (0..3).map(|_| (Budget::new(ALL, 3, now), 0)).collect();
+        let hosts = (0..3).map(|_| (RetryBudget::new(ALL, 3, now), 0)).collect();
         Self { rng: fastrand::Rng::with_seed(seed), now, fails: false, hosts, sent: Vec::new() }
     }
 
@@ -102,7 +102,7 @@
         for n in 0..self.hosts.len() {
             let (budget, rate) = &mut self.hosts[n];
             if restart == Some(n) {
-                *budget = Budget::new(ALL, 3, self.now);
+                *budget = RetryBudget::new(ALL, 3, self.now);
             }
             if self.rng.u32(0..40) == 0 {
                 *rate = self.rng.u32(0..100);
@@ -137,7 +137,7 @@
 #[test]
 fn a_steady_load_can_use_nearly_all_of_the_budget() {
     let begun = Instant::now();
-    let mut budget = Budget::new(ALL, 12, begun);
+    let mut budget = RetryBudget::new(ALL, 12, begun);
     let at = |ms: u64| begun + Duration::from_millis(ms);
     (0..30_000).step_by(10).for_each(|ms| budget.on_request(at(ms)));
     let at_once = (0..1000).filter(|_| budget.take(at(30_000))).count();
--- a/crates/jacinthbeam-host/src/process/traffic.rs
+++ b/crates/jacinthbeam-host/src/process/traffic.rs
@@ -13,9 +13,9 @@
 use jacinthbeam_crash::{
     Fact, Fingerprint, Prober, RecentAnswers, Suspects, fingerprint::Head, probe::Rank,
 };
-use jacinthbeam_dispatch::{Budget, ServerStats, slow_start::Pacer};
+use jacinthbeam_dispatch::{RetryBudget, ServerStats, slow_start::Pacer};
 use jacinthbeam_range::{Key, admission::Gate, demand::Report};
-use jacinthbeam_route::{Route, Server, Target, route::Dealer};
+use jacinthbeam_route::{Route, Server, Target, route::WeightedRoundRobin};
 use jacinthbeam_types::prelude::*;
 use tokio::sync::{mpsc, watch};
 
@@ -52,8 +52,8 @@
     gates: watch::Receiver<Gates>,
     crashes: mpsc::UnboundedSender<Fact>,
     servers: RefCell<BTreeMap<ServerId, Rc<ServerState>>>,
-    budgets: RefCell<BTreeMap<ServiceName, Budget>>,
-    dealers: RefCell<BTreeMap<String, Dealer>>,
+    budgets: RefCell<BTreeMap<ServiceName, RetryBudget>>,
+    dealers: RefCell<BTreeMap<String, WeightedRoundRobin>>,
     reports: RefCell<BTreeMap<ServiceName, Report>>,
     recent: RefCell<RecentAnswers>,
     prober: RefCell<Prober>,
@@ -281,10 +281,10 @@
         &self,
         service: &ServiceName,
         hosts: u32,
-        f: impl FnOnce(&mut Budget, Instant) -> R,
+        f: impl FnOnce(&mut RetryBudget, Instant) -> R,
     ) -> R {
         let mut budgets = self.budgets.borrow_mut();
-        let new = || Budget::new(self.settings.repeats, hosts, self.now());
+        let new = || RetryBudget::new(self.settings.repeats, hosts, self.now());
         let budget = budgets.entry(service.clone()).or_insert_with(new);
         budget.set_hosts(hosts);
         f(budget, self.now())
--- a/crates/jacinthbeam-host/src/request/end.rs
+++ b/crates/jacinthbeam-host/src/request/end.rs
@@ -4,7 +4,7 @@
 use http::{Response, header};
 use http_body_util::Full;
 use jacinthbeam_crash::probe::SLOT;
-use jacinthbeam_dispatch::refusal::{retry_after, room_in};
+use jacinthbeam_dispatch::refusal::{overload_retry_delay, retry_after};
 use jacinthbeam_types::prelude::*;
 
 use super::{
@@ -18,7 +18,7 @@
 };
 
 pub(super) fn give_up(job: &Job, last: Option<Sent>, tried: &[ServerId]) -> Response<Full<Bytes>> {
-    let room_in = room_in(job.route.objective);
+    let room_in = overload_retry_delay(job.route.objective);
     let refusal = match last {
         Some(Sent::Answered { mut res, good }) => {
             job.traffic.counters.on_answer(good, job.traffic.now() - job.received);
--- a/crates/jacinthbeam-route/src/route.rs
+++ b/crates/jacinthbeam-route/src/route.rs
@@ -111,12 +111,12 @@
 ///
 /// Drawing at random instead would miss a share of 10 % by more than 3 % in one of twenty windows of 300 requests.
 #[derive(Debug, Clone, Default)]
-pub struct Dealer {
+pub struct WeightedRoundRobin {
     parts: Vec<Part>,
     due: Vec<f64>,
 }
 
-impl Dealer {
+impl WeightedRoundRobin {
     /// The service of the next request. `None` if no part has a weight.
     pub fn next(&mut self, parts: &[Part]) -> Option<ServiceName> {
         if self.parts != parts {
--- a/crates/jacinthbeam-route/tests/route.rs
+++ b/crates/jacinthbeam-route/tests/route.rs
@@ -5,7 +5,7 @@
 use jacinthbeam_route::{
     Part, Route, Routes, Target,
     config::{Config, Error, Limits},
-    route::Dealer,
+    route::WeightedRoundRobin,
 };
 use jacinthbeam_types::prelude::*;
 
@@ -62,7 +62,7 @@
 fn every_prefix_of_a_split_is_within_one_request_of_its_shares() {
     let parts = [("a", 90.0), ("b", 7.0), ("c", 3.0)]
         .map(|(name, weight)| Part { service: service(name), weight });
-    let mut dealer = Dealer::default();
+    let mut dealer = WeightedRoundRobin::default();
     let mut dealt = [0.0; 3];
     for n in 1..=1000 {
         let next = dealer.next(&parts).unwrap();
@@ -77,7 +77,7 @@
 #[test]
 fn a_split_without_weight_deals_nothing() {
     let parts = [Part { service: service("a"), weight: 0.0 }];
-    assert_eq!(Dealer::default().next(&parts), None);
+    assert_eq!(WeightedRoundRobin::default().next(&parts), None);
 }
 
 #[test]
