--- a/crates/jacinthbeam-host/src/lib.rs
+++ b/crates/jacinthbeam-host/src/lib.rs
@@ -12,7 +12,7 @@
 pub mod operators;
 pub mod process;
 pub mod request;
-pub mod sent;
+pub mod send_outcome;
 pub mod settings;
 pub mod version;
 pub mod wire;
--- a/crates/jacinthbeam-host/src/process/metrics.rs
+++ b/crates/jacinthbeam-host/src/process/metrics.rs
@@ -13,7 +13,7 @@
 use opentelemetry_sdk::metrics::SdkMeterProvider;
 use prometheus::{Encoder, Registry, TextEncoder};
 
-use crate::sent::Sent;
+use crate::send_outcome::SendOutcome;
 
 /// Bounds of the time buckets in seconds, around the objectives of callers.
 const SECONDS: [f64; 10] = [0.01, 0.05, 0.1, 0.2, 0.4, 0.6, 0.8, 1.2, 2.0, 4.0];
@@ -137,12 +137,12 @@
     }
 
     /// Counts a request that was at a backend server.
-    pub fn on_sent(&self, sent: &Sent) {
+    pub fn on_sent(&self, sent: &SendOutcome) {
         let outcome = match sent {
-            Sent::Answered { good: true, .. } => "answered".to_owned(),
-            Sent::Answered { good: false, .. } => "failed".to_owned(),
-            Sent::NotRun(why) => format!("not-run:{why:?}"),
-            Sent::Lost(why) => format!("may-have-run:{why:?}"),
+            SendOutcome::Answered { success: true, .. } => "answered".to_owned(),
+            SendOutcome::Answered { success: false, .. } => "failed".to_owned(),
+            SendOutcome::NotRun(why) => format!("not-run:{why:?}"),
+            SendOutcome::Lost(why) => format!("may-have-run:{why:?}"),
         };
         self.sends.add(1, &[KeyValue::new("outcome", outcome)]);
     }
--- a/crates/jacinthbeam-host/src/process/stories.rs
+++ b/crates/jacinthbeam-host/src/process/stories.rs
@@ -15,7 +15,7 @@
 use jacinthbeam_types::prelude::*;
 
 use super::logs::Quota;
-use crate::{sent::Sent, version::View};
+use crate::{send_outcome::SendOutcome, version::View};
 
 /// Plain successes of which one is told. A host answers some thirty a second; three lines a second are enough to compare with.
 const SAMPLE: u64 = 10;
@@ -84,22 +84,22 @@
         now: Instant,
         send: &Send<'_>,
         view: &View,
-        sent: &Sent,
+        sent: &SendOutcome,
         same: impl FnOnce() -> Fingerprint,
     ) {
         let (outcome, why, status) = match sent {
-            Sent::Answered { res, good } => {
-                if *good && send.number == 1 && fastrand::u64(..SAMPLE) > 0 {
+            SendOutcome::Answered { res, success } => {
+                if *success && send.number == 1 && fastrand::u64(..SAMPLE) > 0 {
                     return;
                 }
                 ("answered", String::new(), res.status().as_u16())
             }
-            Sent::NotRun(why) => ("not-run", format!("{why:?}"), 0),
-            Sent::Lost(why) => ("may-have-run", format!("{why:?}"), 0),
+            SendOutcome::NotRun(why) => ("not-run", format!("{why:?}"), 0),
+            SendOutcome::Lost(why) => ("may-have-run", format!("{why:?}"), 0),
         };
         let Some(left_out) = self.sends.borrow_mut().take(now) else { return };
         let map = view.maps.get(send.service);
-        let lost = matches!(sent, Sent::Lost(_));
+        let lost = matches!(sent, SendOutcome::Lost(_));
         let caller = lost.then_some(send.caller);
         let fingerprint = lost.then(same);
         tracing::info!(
--- a/crates/jacinthbeam-host/src/process/usage.rs
+++ b/crates/jacinthbeam-host/src/process/usage.rs
@@ -17,7 +17,7 @@
 use jacinthbeam_types::prelude::{ServiceName, TeamName};
 use serde::{Deserialize, Serialize};
 
-use crate::sent::Sent;
+use crate::send_outcome::SendOutcome;
 
 /// Pause between two records of the totals: what a lost process can cost, against one call to the store.
 pub const RECORD_EVERY: Duration = Duration::from_secs(5);
@@ -105,12 +105,12 @@
     }
 
     /// What became of it there.
-    pub fn end(&self, sent: &Sent) {
+    pub fn end(&self, sent: &SendOutcome) {
         self.open.set(self.open.get() - 1);
         match sent {
-            Sent::Answered { .. } => self.ran.set(true),
-            Sent::Lost(_) => self.may_have_run.set(true),
-            Sent::NotRun(_) => {}
+            SendOutcome::Answered { .. } => self.ran.set(true),
+            SendOutcome::Lost(_) => self.may_have_run.set(true),
+            SendOutcome::NotRun(_) => {}
         }
     }
 }
--- a/crates/jacinthbeam-host/src/request/crash.rs
+++ b/crates/jacinthbeam-host/src/request/crash.rs
@@ -20,7 +20,7 @@
 use crate::{
     connection::pool,
     process::{broken::Running, traffic::Traffic},
-    sent::{Lost, NotRun, Sent},
+    send_outcome::{Lost, NotRun, SendOutcome},
     version::View,
 };
 
@@ -78,20 +78,20 @@
         self,
         server: &Server,
         most_connections: u32,
-        sent: &Sent,
+        sent: &SendOutcome,
         waits: bool,
     ) -> bool {
         match sent {
-            Sent::Answered { good: true, .. } => {
+            SendOutcome::Answered { success: true, .. } => {
                 // As known now: servers may have ended under it at other hosts while it ran.
                 self.on_served(&self.traffic.view());
                 false
             }
-            Sent::NotRun(NotRun::NotListening | NotRun::OtherServer) => {
+            SendOutcome::NotRun(NotRun::NotListening | NotRun::OtherServer) => {
                 tell(self.traffic, server);
                 false
             }
-            Sent::Lost(Lost::Broken) => {
+            SendOutcome::Lost(Lost::Broken) => {
                 self.traffic.server(server).broken.on_broken(self.running());
                 let (traffic, server) = (self.traffic.clone(), server.clone());
                 let look = async move { look(&traffic, &server, most_connections).await };
@@ -101,7 +101,9 @@
                 }
                 matches!(tokio::time::timeout(LOOK_WITHIN, look).await, Ok(Ok(true)))
             }
-            Sent::Answered { .. } | Sent::NotRun(_) | Sent::Lost(Lost::Late) => false,
+            SendOutcome::Answered { .. }
+            | SendOutcome::NotRun(_)
+            | SendOutcome::Lost(Lost::Late) => false,
         }
     }
 
--- a/crates/jacinthbeam-host/src/request/end.rs
+++ b/crates/jacinthbeam-host/src/request/end.rs
@@ -14,21 +14,25 @@
 };
 use crate::{
     process::stories::Basis,
-    sent::{Lost, Sent},
+    send_outcome::{Lost, SendOutcome},
 };
 
-pub(super) fn give_up(job: &Job, last: Option<Sent>, tried: &[ServerId]) -> Response<Full<Bytes>> {
+pub(super) fn give_up(
+    job: &Job,
+    last: Option<SendOutcome>,
+    tried: &[ServerId],
+) -> Response<Full<Bytes>> {
     let room_in = overload_retry_delay(job.route.objective);
     let refusal = match last {
-        Some(Sent::Answered { mut res, good }) => {
-            job.traffic.counters.on_answer(good, job.traffic.now() - job.received);
+        Some(SendOutcome::Answered { mut res, success }) => {
+            job.traffic.counters.on_answer(success, job.traffic.now() - job.received);
             res.headers_mut().remove(header::CONNECTION);
             (job.traffic.wire.delivered)(res.headers_mut());
             return res;
         }
-        Some(Sent::Lost(Lost::Late)) => Refusal::may_have_run(Reason::DeadlinePassed),
-        Some(Sent::Lost(Lost::Broken)) => Refusal::may_have_run(Reason::ConnectionLost),
-        Some(Sent::NotRun(why)) => not_run(why, room_in),
+        Some(SendOutcome::Lost(Lost::Late)) => Refusal::may_have_run(Reason::DeadlinePassed),
+        Some(SendOutcome::Lost(Lost::Broken)) => Refusal::may_have_run(Reason::ConnectionLost),
+        Some(SendOutcome::NotRun(why)) => not_run(why, room_in),
         None if tried.is_empty() => Refusal::not_run(Reason::NoOwner).retry_after(OWNER_IN),
         None => Refusal::not_run(Reason::Overloaded).retry_after(room_in),
     };
--- a/crates/jacinthbeam-host/src/request/job.rs
+++ b/crates/jacinthbeam-host/src/request/job.rs
@@ -19,7 +19,7 @@
 };
 use crate::{
     process::{stories, traffic::Traffic, usage::Use},
-    sent::{Lost, Sent},
+    send_outcome::{Lost, SendOutcome},
     version::View,
 };
 
@@ -44,7 +44,7 @@
 }
 
 impl Job {
-    pub(super) fn tell(&self, view: &View, server: &Server, number: u32, sent: &Sent) {
+    pub(super) fn tell(&self, view: &View, server: &Server, number: u32, sent: &SendOutcome) {
         let send = stories::Send {
             id: &self.whole.id,
             route: &self.route.name,
@@ -70,7 +70,7 @@
         &self,
         view: &Arc<View>,
         server: &Server,
-        sent: &Sent,
+        sent: &SendOutcome,
         may_repeat: bool,
     ) -> bool {
         let most = self.traffic.most_connections(self.connections, view.hosts);
@@ -111,22 +111,22 @@
 
 /// Sends the request to one server. One that must not run twice goes on if its caller leaves, since cancelling it would leave
 /// nobody knowing whether it ran; any other is cancelled with the caller.
-pub(super) async fn offer(job: &Rc<Job>, view: &View, server: &Server) -> Sent {
+pub(super) async fn offer(job: &Rc<Job>, view: &View, server: &Server) -> SendOutcome {
     let most = job.traffic.most_connections(job.connections, view.hosts);
     let sent = if job.idempotent {
         send_counted(job, server, most).await
     } else {
         let (job, server) = (job.clone(), server.clone());
         let task = spawn_local(async move { send_counted(&job, &server, most).await });
-        task.await.unwrap_or(Sent::Lost(Lost::Broken))
+        task.await.unwrap_or(SendOutcome::Lost(Lost::Broken))
     };
-    if let (Sent::Answered { .. }, true) = (&sent, job.keyed) {
+    if let (SendOutcome::Answered { .. }, true) = (&sent, job.keyed) {
         job.traffic.on_keyed_answer(&job.service, &server.id);
     }
     sent
 }
 
-async fn send_counted(job: &Job, server: &Server, most_connections: u32) -> Sent {
+async fn send_counted(job: &Job, server: &Server, most_connections: u32) -> SendOutcome {
     job.usage.begin();
     let mut at = AtServer { job, server, is_over: false };
     let sent = send::send(&job.traffic, &job.whole, server, most_connections, job.deadline).await;
--- a/crates/jacinthbeam-host/src/request/refuse.rs
+++ b/crates/jacinthbeam-host/src/request/refuse.rs
@@ -10,7 +10,7 @@
 use super::{answer, body};
 use crate::{
     process::{stories::Basis, traffic::Traffic},
-    sent::NotRun,
+    send_outcome::NotRun,
 };
 
 /// Hint for a caller whose key has no owner.
--- a/crates/jacinthbeam-host/src/request/send.rs
+++ b/crates/jacinthbeam-host/src/request/send.rs
@@ -17,7 +17,7 @@
 use crate::{
     connection::pool::{self, Lent},
     process::traffic::{ServerState, Traffic},
-    sent::{Lost, NotRun, Sent},
+    send_outcome::{Lost, NotRun, SendOutcome},
     wire::{Forward, Told},
 };
 
@@ -69,29 +69,31 @@
     server: &Server,
     most_connections: u32,
     deadline: Instant,
-) -> Sent {
+) -> SendOutcome {
     let state = traffic.server(server);
     let begun = traffic.now();
     let _in_flight = InFlight::new(state.clone(), begun);
     let sent = match exchange(traffic, whole, server, &state, most_connections, deadline).await {
         Ok(sent) => sent,
-        Err(not_run) => Sent::NotRun(not_run),
+        Err(not_run) => SendOutcome::NotRun(not_run),
     };
     observe(traffic, &state, &sent, begun);
     sent
 }
 
-fn observe(traffic: &Traffic, state: &ServerState, sent: &Sent, begun: Instant) {
+fn observe(traffic: &Traffic, state: &ServerState, sent: &SendOutcome, begun: Instant) {
     let now = traffic.now();
     let mut seen = state.stats.borrow_mut();
     match sent {
-        Sent::Answered { good: true, .. } => seen.on_answer(now.saturating_duration_since(begun)),
-        Sent::Answered { good: false, .. } => seen.on_error(),
-        Sent::NotRun(NotRun::Full) => seen.on_full(now),
-        Sent::NotRun(NotRun::NotListening | NotRun::Unreachable) => seen.on_failure(now),
-        Sent::NotRun(NotRun::OtherServer) => state.ended.set(true),
-        Sent::NotRun(NotRun::NotOwner | NotRun::NoConnection | NotRun::Refused) => {}
-        Sent::Lost(_) => {
+        SendOutcome::Answered { success: true, .. } => {
+            seen.on_answer(now.saturating_duration_since(begun))
+        }
+        SendOutcome::Answered { success: false, .. } => seen.on_error(),
+        SendOutcome::NotRun(NotRun::Full) => seen.on_full(now),
+        SendOutcome::NotRun(NotRun::NotListening | NotRun::Unreachable) => seen.on_failure(now),
+        SendOutcome::NotRun(NotRun::OtherServer) => state.ended.set(true),
+        SendOutcome::NotRun(NotRun::NotOwner | NotRun::NoConnection | NotRun::Refused) => {}
+        SendOutcome::Lost(_) => {
             seen.on_failure(now);
             // Whatever ended this connection may have ended the idle ones without their showing it.
             state.pool.clear();
@@ -106,7 +108,7 @@
     state: &ServerState,
     most: u32,
     deadline: Instant,
-) -> Result<Sent, NotRun> {
+) -> Result<SendOutcome, NotRun> {
     let mut lent = lend(state.pool.lend(traffic.now(), most).await)?;
     loop {
         let left = deadline.saturating_duration_since(traffic.now());
@@ -114,7 +116,7 @@
         let req = prepare(traffic, whole, server, left);
         let sent = tokio::time::timeout_at(by, lent.connection.sender.try_send_request(req)).await;
         match sent {
-            Err(_) => return Ok(Sent::Lost(Lost::Late)),
+            Err(_) => return Ok(SendOutcome::Lost(Lost::Late)),
             Ok(Ok(res)) => return Ok(take(traffic, whole, &server.id, state, lent, res, by).await),
             Ok(Err(mut err)) => match (err.take_message(), lent.reused) {
                 // hyper gives a request back only if nothing of it was written.
@@ -123,7 +125,7 @@
                 (None, _) => {
                     let (id, err) = (&whole.id, err.into_error());
                     tracing::debug!(part = "request", id = ?id, event = "connection-ended", error = ?err);
-                    return Ok(Sent::Lost(Lost::Broken));
+                    return Ok(SendOutcome::Lost(Lost::Broken));
                 }
             },
         }
@@ -160,12 +162,12 @@
     lent: Lent,
     res: Response<Incoming>,
     by: TimerInstant,
-) -> Sent {
+) -> SendOutcome {
     let told = (traffic.wire.answer)(res.status(), res.headers(), &whole.id, server);
     if told == Told::Foreign {
         let (id, status) = (&whole.id, res.status());
         tracing::info!(part = "request", id = ?id, event = "foreign-answer", status = %status);
-        return Sent::Lost(Lost::Broken);
+        return SendOutcome::Lost(Lost::Broken);
     }
     let keep_alive = keep_alive(res.headers());
     let last = says_close(res.headers());
@@ -175,9 +177,9 @@
         Ok(Ok(whole)) => whole.to_bytes(),
         Ok(Err(err)) => {
             tracing::info!(part = "request", id = ?whole.id, event = "answer-cut", error = ?err);
-            return refusal(told).unwrap_or(Sent::Lost(Lost::Broken));
+            return refusal(told).unwrap_or(SendOutcome::Lost(Lost::Broken));
         }
-        Err(_) => return refusal(told).unwrap_or(Sent::Lost(Lost::Late)),
+        Err(_) => return refusal(told).unwrap_or(SendOutcome::Lost(Lost::Late)),
     };
     if !last {
         keep(traffic, state, lent, keep_alive).await;
@@ -189,7 +191,7 @@
     // hyper writes the length of the body that it is given.
     head.headers.remove(header::CONTENT_LENGTH);
     let good = told == Told::Answer { good: true };
-    Sent::Answered { res: Response::from_parts(head, Full::new(bytes)), good }
+    SendOutcome::Answered { res: Response::from_parts(head, Full::new(bytes)), success: good }
 }
 
 /// Keeps a connection whose answer was read whole, if the request was written whole too and nothing more has come.
@@ -203,7 +205,7 @@
 }
 
 /// What an answer says whose body is of no interest.
-fn refusal(told: Told) -> Option<Sent> {
+fn refusal(told: Told) -> Option<SendOutcome> {
     let not_run = match told {
         Told::Full => NotRun::Full,
         Told::NotOwner => NotRun::NotOwner,
@@ -211,7 +213,7 @@
         Told::Refused => NotRun::Refused,
         Told::Answer { .. } | Told::Foreign => return None,
     };
-    Some(Sent::NotRun(not_run))
+    Some(SendOutcome::NotRun(not_run))
 }
 
 fn says_close(headers: &HeaderMap) -> bool {
--- a/crates/jacinthbeam-host/src/request/serve.rs
+++ b/crates/jacinthbeam-host/src/request/serve.rs
@@ -27,7 +27,7 @@
 use crate::{
     connection::accept::CallerAddr,
     process::{stories::Basis, traffic::Traffic, usage::Use},
-    sent::{Lost, NotRun, Sent},
+    send_outcome::{Lost, NotRun, SendOutcome},
     version::View,
     wire::BadCaller,
 };
@@ -111,7 +111,7 @@
     if let Some(key) = job.key.filter(|_| job.keyed)
         && !is_let_in(&job, &view, key)
     {
-        return give_up(&job, Some(Sent::NotRun(NotRun::Full)), &[]);
+        return give_up(&job, Some(SendOutcome::NotRun(NotRun::Full)), &[]);
     }
     run(job).await
 }
@@ -150,7 +150,7 @@
         // It may have waited, and its repeat may come, after others have shown what it does.
         if let Some(quarantine) = job.subject().refused(&view) {
             return match last {
-                None | Some(Sent::NotRun(_)) => refuse_for_crashes(&job, quarantine),
+                None | Some(SendOutcome::NotRun(_)) => refuse_for_crashes(&job, quarantine),
                 last => give_up(&job, last, &tried),
             };
         }
@@ -176,21 +176,19 @@
         job.traffic.counters.on_sent(&sent);
         job.tell(&view, &server, sends, &sent);
         let again = match &sent {
-            Sent::Answered { good: true, .. } => false,
-            Sent::Answered { good: false, .. } => job.may_run_again(sends) && !job.keyed,
+            SendOutcome::Answered { success: true, .. } => false,
+            SendOutcome::Answered { success: false, .. } => job.may_run_again(sends) && !job.keyed,
             // The same server would refuse it again, and each arrival counts against the budget of all hosts.
-            Sent::NotRun(NotRun::NotOwner) if job.keyed => {
+            SendOutcome::NotRun(NotRun::NotOwner) if job.keyed => {
                 sends < MOST_SENDS && await_other_owner(&job, &view).await
             }
-            Sent::NotRun(NotRun::OtherServer | NotRun::NotListening | NotRun::Unreachable)
-                if job.keyed =>
-            {
-                false
-            }
-            Sent::NotRun(NotRun::Full) => !job.keyed && sends < MOST_SENDS,
-            Sent::NotRun(_) => sends < MOST_SENDS,
-            Sent::Lost(Lost::Late) => false,
-            Sent::Lost(Lost::Broken) => job.may_run_again(sends),
+            SendOutcome::NotRun(
+                NotRun::OtherServer | NotRun::NotListening | NotRun::Unreachable,
+            ) if job.keyed => false,
+            SendOutcome::NotRun(NotRun::Full) => !job.keyed && sends < MOST_SENDS,
+            SendOutcome::NotRun(_) => sends < MOST_SENDS,
+            SendOutcome::Lost(Lost::Late) => false,
+            SendOutcome::Lost(Lost::Broken) => job.may_run_again(sends),
         };
         let has_ended = job.on_sent(&view, &server, &sent, again).await;
         if has_ended {
@@ -208,10 +206,13 @@
 }
 
 /// Of two outcomes, the one that the caller has to be told: what may have run outweighs what surely did not.
-fn worse(earlier: Option<Sent>, later: Sent) -> Sent {
+fn worse(earlier: Option<SendOutcome>, later: SendOutcome) -> SendOutcome {
     match (earlier, later) {
-        (Some(earlier @ (Sent::Answered { .. } | Sent::Lost(_))), Sent::NotRun(_)) => earlier,
-        (Some(earlier @ Sent::Answered { .. }), Sent::Lost(_)) => earlier,
+        (
+            Some(earlier @ (SendOutcome::Answered { .. } | SendOutcome::Lost(_))),
+            SendOutcome::NotRun(_),
+        ) => earlier,
+        (Some(earlier @ SendOutcome::Answered { .. }), SendOutcome::Lost(_)) => earlier,
         (_, later) => later,
     }
 }
--- a/crates/jacinthbeam-host/src/sent.rs
+++ b/crates/jacinthbeam-host/src/send_outcome.rs
@@ -8,13 +8,13 @@
 
 /// What became of a request at one server.
 #[derive(Debug)]
-pub enum Sent {
+pub enum SendOutcome {
     /// The server's answer, whole.
     Answered {
         /// As the server gave it, without headers of its connection.
         res: Response<Full<Bytes>>,
         /// Whether it is a signed success.
-        good: bool,
+        success: bool,
     },
     /// It did not run there.
     NotRun(NotRun),
