--- a/crates/jacinthbeam-cli/src/records.rs
+++ b/crates/jacinthbeam-cli/src/records.rs
@@ -6,7 +6,7 @@
 use jacinthbeam::{
     config::fold::State,
     host::process::usage::Usage,
-    native::{self, PLACES},
+    native::{self, STORE_LAYOUT},
     store::{Call, Client, Error, Item, Lane, Partition, Reply, keyed::Follower},
     types::prelude::*,
 };
@@ -41,8 +41,8 @@
 
     /// The configuration in force.
     pub async fn config(&self) -> Result<Current, Error> {
-        let (items, end) = self.newest((PLACES.operator)()).await?;
-        let record = items.into_iter().find(|item| item.key == PLACES.config_key);
+        let (items, end) = self.newest((STORE_LAYOUT.operator)()).await?;
+        let record = items.into_iter().find(|item| item.key == STORE_LAYOUT.config_key);
         let state = match record {
             Some(item) => native::config::state(&item.value).map_err(Error::Malformed)?,
             None => State::default(),
@@ -53,8 +53,8 @@
     /// Brings a configuration into force, if no other record has come since `end`.
     pub async fn put_config(&self, state: &State, end: Offset) -> Result<(), Error> {
         let call = Call::Put {
-            to: (PLACES.operator)(),
-            key: PLACES.config_key.into(),
+            to: (STORE_LAYOUT.operator)(),
+            key: STORE_LAYOUT.config_key.into(),
             value: Bytes::from(native::config::write(state)),
             only_at: Some(end),
         };
@@ -71,8 +71,8 @@
         evacuated: bool,
     ) -> Result<(), Error> {
         let value = if evacuated { Bytes::from_static(b"{}") } else { Bytes::new() };
-        let key = format!("{}{domain}", PLACES.evacuation_prefix);
-        let call = Call::Put { to: (PLACES.operator)(), key, value, only_at: None };
+        let key = format!("{}{domain}", STORE_LAYOUT.evacuation_prefix);
+        let call = Call::Put { to: (STORE_LAYOUT.operator)(), key, value, only_at: None };
         match self.lane.call(&call).await? {
             Reply::Kept(_) => Ok(()),
             _ => Err(Error::Malformed("not the answer to an append".into())),
@@ -81,7 +81,7 @@
 
     /// What every life of a process counted against teams, added up.
     pub async fn usage(&self) -> Result<Usage, Error> {
-        let partition = Partition { topic: PLACES.usage.into(), number: 0 };
+        let partition = Partition { topic: STORE_LAYOUT.usage.into(), number: 0 };
         let mut total = Usage::default();
         for item in self.newest(partition).await?.0 {
             let usage = Usage::from_bytes(&item.value);
--- a/crates/jacinthbeam-host/src/process/control/calls.rs
+++ b/crates/jacinthbeam-host/src/process/control/calls.rs
@@ -131,9 +131,9 @@
                 return;
             }
             let line = Line::new(from.addr, MAX_ANSWER);
-            let req = (wire.release)(&from, range, token);
+            let req = (wire.release_request)(&from, range, token);
             let answer = line.exchange(req, RELEASE_WITHIN).await;
-            let handover = match answer.map(|res| (wire.released)(&from, &res)) {
+            let handover = match answer.map(|res| (wire.parse_release_response)(&from, &res)) {
                 Ok(Released::Done(handover)) => Ok(handover),
                 // The life that held the keys has ended.
                 Ok(Released::OtherServer) => Ok(None),
@@ -230,9 +230,10 @@
         to: &Owner,
         call: &Call,
     ) {
-        let answer = line.line.exchange_kept((wire.grant)(to, call, HOLD), GRANT_WITHIN).await;
+        let answer =
+            line.line.exchange_kept((wire.grant_request)(to, call, HOLD), GRANT_WITHIN).await;
         let granted = match answer {
-            Ok(res) => (wire.granted)(to, &res),
+            Ok(res) => (wire.parse_grant_response)(to, &res),
             Err(line::Error::NotSent(_)) => {
                 self.outcome = Outcome::Silent;
                 self.silent += 1;
--- a/crates/jacinthbeam-host/src/process/control/granting.rs
+++ b/crates/jacinthbeam-host/src/process/control/granting.rs
@@ -51,7 +51,7 @@
     pub(super) fn meet_service(&mut self, name: &ServiceName) {
         let number = self.partition_of(name);
         if !self.partitions.contains_key(&number) {
-            let partition = Partition { topic: self.wire.places.maps.into(), number };
+            let partition = Partition { topic: self.wire.store_layout.maps.into(), number };
             let (gate, is_open) = watch::channel(*self.direct.borrow());
             self.partitions.insert(number, MapPartition::new(self.store.lane(), gate));
             self.follow(partition, MAPS_WAIT, Duration::ZERO, is_open, move |read| Input::Maps {
@@ -63,7 +63,7 @@
         if !std::mem::replace(&mut self.has_joined, true) {
             spawn_local(duty::run(duty::Group {
                 store: self.store.clone(),
-                topic: self.wire.places.duties,
+                topic: self.wire.store_layout.duties,
                 member: format!("{}:{}", self.me.host, self.me.incarnation),
                 clock: self.clock.clone(),
                 wish: self.wish.clone(),
@@ -300,7 +300,7 @@
         let (lane, at) = (partition.lane.clone(), partition.end);
         let (service, value) = (service.clone(), Bytes::from(map.to_bytes()));
         tracing::info!(part = "maps", event = "record", service = %service, epoch = %map.epoch, version = %map.version, at = %at, ranges = %map.held().len(), bytes = %value.len());
-        let to = Partition { topic: self.wire.places.maps.into(), number };
+        let to = Partition { topic: self.wire.store_layout.maps.into(), number };
         let (clock, tx) = (self.clock.clone(), self.tx.clone());
         spawn_local(async move {
             let asked = clock.now();
@@ -320,7 +320,7 @@
     pub(super) fn look(&self, number: u32) {
         let Some(partition) = self.partitions.get(&number) else { return };
         let lane = partition.lane.clone();
-        let from = Partition { topic: self.wire.places.maps.into(), number };
+        let from = Partition { topic: self.wire.store_layout.maps.into(), number };
         let mut follower = Follower::after(from, partition.end);
         let (clock, tx) = (self.clock.clone(), self.tx.clone());
         spawn_local(async move {
--- a/crates/jacinthbeam-host/src/process/control/learn.rs
+++ b/crates/jacinthbeam-host/src/process/control/learn.rs
@@ -21,7 +21,7 @@
         let now = self.clock.now();
         self.heard.on_operator(now);
         let newest =
-            changes.items.iter().rev().find(|item| item.key == self.wire.places.config_key);
+            changes.items.iter().rev().find(|item| item.key == self.wire.store_layout.config_key);
         if let Some(item) = newest.filter(|item| !item.value.is_empty()) {
             self.on_config(item);
         }
@@ -33,7 +33,7 @@
     /// Takes the operator's records of evacuations.
     fn on_evacuations(&mut self, changes: &Changes) {
         let now = self.clock.now();
-        let prefix = self.wire.places.evacuation_prefix;
+        let prefix = self.wire.store_layout.evacuation_prefix;
         let mut changed = false;
         let mut listed = Vec::new();
         for item in &changes.items {
@@ -66,7 +66,7 @@
     }
 
     fn on_config(&mut self, item: &Item) {
-        match (self.wire.config)(&item.value) {
+        match (self.wire.parse_config)(&item.value) {
             Ok(cfg) => {
                 let config = self.known.take_config(cfg);
                 if config {
@@ -111,7 +111,7 @@
         if item.value.is_empty() {
             return self.known.take_server(name, item.offset, None, bound);
         }
-        let server = match (self.wire.server)(&item.key, &item.value) {
+        let server = match (self.wire.parse_server)(&item.key, &item.value) {
             Ok(server) => Some(server),
             Err(err) => {
                 self.note_unreadable("server", item, &err);
--- a/crates/jacinthbeam-host/src/process/control/state.rs
+++ b/crates/jacinthbeam-host/src/process/control/state.rs
@@ -156,16 +156,16 @@
 
     /// Starts to follow the store, or hosts that do.
     pub(super) fn begin(&mut self) {
-        let places = self.wire.places;
+        let store_layout = self.wire.store_layout;
         let gate = self.direct.subscribe();
         let once = Duration::ZERO;
-        self.follow((places.operator)(), OPERATOR_WAIT, once, gate.clone(), |read| {
+        self.follow((store_layout.operator)(), OPERATOR_WAIT, once, gate.clone(), |read| {
             Input::Operator(read.as_of(), read.changes)
         });
-        self.follow((places.servers)(), once, SERVERS_EVERY, gate.clone(), |read| {
+        self.follow((store_layout.servers)(), once, SERVERS_EVERY, gate.clone(), |read| {
             Input::Servers(read.asked, read.changes)
         });
-        let hosts = Partition { topic: places.hosts.into(), number: 0 };
+        let hosts = Partition { topic: store_layout.hosts.into(), number: 0 };
         self.follow(hosts.clone(), HOSTS_WAIT, HOSTS_EVERY, gate, |read| {
             Input::Hosts(read.changes)
         });
@@ -215,7 +215,7 @@
     pub(super) fn recorder(&self, counted: usage::Counted) -> usage::Recorder {
         usage::Recorder {
             lane: self.store.lane(),
-            to: Partition { topic: self.wire.places.usage.into(), number: 0 },
+            to: Partition { topic: self.wire.store_layout.usage.into(), number: 0 },
             key: format!("{}:{}", self.me.host, self.me.incarnation),
             counted,
             recorded: usage::Usage::default(),
--- a/crates/jacinthbeam-host/src/request/answer.rs
+++ b/crates/jacinthbeam-host/src/request/answer.rs
@@ -34,7 +34,7 @@
     why: &str,
 ) -> Response<Full<Bytes>> {
     let mut res = plain(status, format!("{}: {why}", refusal.verdict));
-    (wire.refused)(res.headers_mut(), id, refusal);
+    (wire.set_refusal_headers)(res.headers_mut(), id, refusal);
     res
 }
 
--- a/crates/jacinthbeam-host/src/request/end.rs
+++ b/crates/jacinthbeam-host/src/request/end.rs
@@ -27,7 +27,7 @@
         Some(SendOutcome::Answered { mut res, success }) => {
             job.traffic.counters.on_answer(success, job.traffic.now() - job.received);
             res.headers_mut().remove(header::CONNECTION);
-            (job.traffic.wire.delivered)(res.headers_mut());
+            (job.traffic.wire.set_delivered_headers)(res.headers_mut());
             return res;
         }
         Some(SendOutcome::Lost(Lost::Late)) => Refusal::may_have_run(Reason::DeadlinePassed),
--- a/crates/jacinthbeam-host/src/request/send.rs
+++ b/crates/jacinthbeam-host/src/request/send.rs
@@ -18,7 +18,7 @@
     connection::pool::{self, Lent},
     process::traffic::{ServerState, Traffic},
     send_outcome::{Lost, NotRun, SendOutcome},
-    wire::{Forward, Told},
+    wire::{Forward, ResponseKind},
 };
 
 /// A request that was read whole.
@@ -150,7 +150,10 @@
     *req.method_mut() = whole.method.clone();
     *req.uri_mut() = whole.target.clone();
     *req.headers_mut() = whole.headers.clone();
-    (traffic.wire.forward)(req.headers_mut(), &Forward { id: &whole.id, left, server: &server.id });
+    (traffic.wire.set_forward_headers)(
+        req.headers_mut(),
+        &Forward { id: &whole.id, left, server: &server.id },
+    );
     req
 }
 
@@ -163,8 +166,8 @@
     res: Response<Incoming>,
     by: TimerInstant,
 ) -> SendOutcome {
-    let told = (traffic.wire.answer)(res.status(), res.headers(), &whole.id, server);
-    if told == Told::Foreign {
+    let told = (traffic.wire.classify_response)(res.status(), res.headers(), &whole.id, server);
+    if told == ResponseKind::Foreign {
         let (id, status) = (&whole.id, res.status());
         tracing::info!(part = "request", id = ?id, event = "foreign-answer", status = %status);
         return SendOutcome::Lost(Lost::Broken);
@@ -190,7 +193,7 @@
     strip(&mut head.headers, &[]);
     // hyper writes the length of the body that it is given.
     head.headers.remove(header::CONTENT_LENGTH);
-    let good = told == Told::Answer { good: true };
+    let good = told == ResponseKind::Answer { success: true };
     SendOutcome::Answered { res: Response::from_parts(head, Full::new(bytes)), success: good }
 }
 
@@ -205,13 +208,13 @@
 }
 
 /// What an answer says whose body is of no interest.
-fn refusal(told: Told) -> Option<SendOutcome> {
+fn refusal(told: ResponseKind) -> Option<SendOutcome> {
     let not_run = match told {
-        Told::Full => NotRun::Full,
-        Told::NotOwner => NotRun::NotOwner,
-        Told::OtherServer => NotRun::OtherServer,
-        Told::Refused => NotRun::Refused,
-        Told::Answer { .. } | Told::Foreign => return None,
+        ResponseKind::Full => NotRun::Full,
+        ResponseKind::NotOwner => NotRun::NotOwner,
+        ResponseKind::OtherServer => NotRun::OtherServer,
+        ResponseKind::Refused => NotRun::Refused,
+        ResponseKind::Answer { .. } | ResponseKind::Foreign => return None,
     };
     Some(SendOutcome::NotRun(not_run))
 }
--- a/crates/jacinthbeam-host/src/request/serve.rs
+++ b/crates/jacinthbeam-host/src/request/serve.rs
@@ -29,7 +29,7 @@
     process::{stories::Basis, traffic::Traffic, usage::Use},
     send_outcome::{Lost, NotRun, SendOutcome},
     version::View,
-    wire::BadCaller,
+    wire::HeaderError,
 };
 
 /// Part of the objective that a request waits for a key whose owner has just given it back: a planned move takes as long as
@@ -54,10 +54,10 @@
     let received = traffic.now();
     let (parts, incoming) = req.into_parts();
     let view = traffic.view();
-    let caller = match (traffic.wire.caller)(&parts) {
+    let caller = match (traffic.wire.parse_caller_headers)(&parts) {
         Ok(caller) => caller,
-        Err(BadCaller::NoId) => return bad(&traffic, "the request has no id"),
-        Err(BadCaller::Header(name)) => {
+        Err(HeaderError::NoId) => return bad(&traffic, "the request has no id"),
+        Err(HeaderError::Header(name)) => {
             return bad(&traffic, &format!("header {name} can't be read"));
         }
     };
@@ -72,7 +72,7 @@
         };
         return refuse(&traffic, &caller.id, "-", &refusal, received, Basis::default);
     };
-    let patience = caller.patience.unwrap_or(route.timeout).min(route.timeout);
+    let patience = caller.timeout.unwrap_or(route.timeout).min(route.timeout);
     let deadline = received + patience;
     let reading = body::read(incoming, cfg.limits.body, &traffic.body_bytes);
     let read = tokio::time::timeout(patience, reading).await.unwrap_or(Err(body::Error::Silent));
--- a/crates/jacinthbeam-host/src/wire.rs
+++ b/crates/jacinthbeam-host/src/wire.rs
@@ -15,35 +15,35 @@
     /// Calls to the store.
     pub store: jacinthbeam_store::Wire,
     /// Where things lie in the store.
-    pub places: Places,
+    pub store_layout: StoreLayout,
     /// What the head of a caller's request says.
-    pub caller: fn(&Parts) -> Result<Caller, BadCaller>,
+    pub parse_caller_headers: fn(&Parts) -> Result<CallerHeaders, HeaderError>,
     /// Sets the headers that a request carries from this host to a backend server.
-    pub forward: fn(&mut HeaderMap, &Forward<'_>),
+    pub set_forward_headers: fn(&mut HeaderMap, &Forward<'_>),
     /// What the head of an answer says, given the request's id and the server that was asked.
-    pub answer: fn(StatusCode, &HeaderMap, &HeaderValue, &ServerId) -> Told,
+    pub classify_response: fn(StatusCode, &HeaderMap, &HeaderValue, &ServerId) -> ResponseKind,
     /// Sets what a refusal's head says besides its status: when to come back, what may have become of the request, and its
     /// id if its head could be read.
-    pub refused: fn(&mut HeaderMap, Option<&HeaderValue>, &Refusal),
+    pub set_refusal_headers: fn(&mut HeaderMap, Option<&HeaderValue>, &Refusal),
     /// Sets what an answer's head says besides what its backend server said.
-    pub delivered: fn(&mut HeaderMap),
+    pub set_delivered_headers: fn(&mut HeaderMap),
     /// The call that grants keys for this long.
-    pub grant: fn(&Owner, &Call, Duration) -> Request<Bytes>,
+    pub grant_request: fn(&Owner, &Call, Duration) -> Request<Bytes>,
     /// What the answer to a grant says.
-    pub granted: fn(&Owner, &Response<Bytes>) -> Granted,
+    pub parse_grant_response: fn(&Owner, &Response<Bytes>) -> Granted,
     /// The call that takes keys back.
-    pub release: fn(&Owner, KeyRange, Token) -> Request<Bytes>,
+    pub release_request: fn(&Owner, KeyRange, Token) -> Request<Bytes>,
     /// What the answer to a release says.
-    pub released: fn(&Owner, &Response<Bytes>) -> Released,
+    pub parse_release_response: fn(&Owner, &Response<Bytes>) -> Released,
     /// A configuration as kept in the store.
-    pub config: fn(&[u8]) -> Result<Config, String>,
+    pub parse_config: fn(&[u8]) -> Result<Config, String>,
     /// A backend server's entry in the store, given its key.
-    pub server: fn(&str, &[u8]) -> Result<Server, String>,
+    pub parse_server: fn(&str, &[u8]) -> Result<Server, String>,
 }
 
 /// Names in the store.
 #[derive(Debug, Clone, Copy)]
-pub struct Places {
+pub struct StoreLayout {
     /// Holds the operator's records.
     pub operator: fn() -> Partition,
     /// Key of the configuration among them.
@@ -64,11 +64,11 @@
 
 /// What a caller's request says besides its method, path and body.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Caller {
+pub struct CallerHeaders {
     /// Name of this attempt of the caller; answers repeat it.
     pub id: HeaderValue,
     /// How long the caller waits.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// The key that the request is about.
     pub key: Option<Key>,
     /// Whether this request may run more than once, if the caller says so. Else its route does.
@@ -77,7 +77,7 @@
 
 /// Why the head of a request can't be read.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum BadCaller {
+pub enum HeaderError {
     /// The attempt has no name.
     NoId,
     /// A header is not what it should be.
@@ -97,11 +97,11 @@
 
 /// What the head of an answer says.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Told {
-    /// The answer to the request: it ran. `good` if it succeeded and is signed.
+pub enum ResponseKind {
+    /// The answer to the request: it ran. `success` if it succeeded and is signed.
     Answer {
         /// Whether it may be passed on as a success.
-        good: bool,
+        success: bool,
     },
     /// The request did not run, for want of room.
     Full,
--- a/crates/jacinthbeam-measure/src/deployment/mod.rs
+++ b/crates/jacinthbeam-measure/src/deployment/mod.rs
@@ -16,7 +16,7 @@
 use jacinthbeam::{
     config::{change::Change, change::FileChange, fold::Outcome, fold::State, folder::Snapshot},
     host::{Settings, Sockets, operators, process, spawn},
-    native::{self, PLACES},
+    native::{self, STORE_LAYOUT},
     store::{Call, Client},
     types::prelude::*,
 };
@@ -159,8 +159,8 @@
     async fn publish(&self) -> Result<(), Error> {
         let client = Client::open(self.store.addr(), native::wire().store, Arc::new(SystemClock));
         let value = Bytes::from(native::config::write(&self.state));
-        let key = PLACES.config_key.to_owned();
-        let call = Call::Put { to: (PLACES.operator)(), key, value, only_at: None };
+        let key = STORE_LAYOUT.config_key.to_owned();
+        let call = Call::Put { to: (STORE_LAYOUT.operator)(), key, value, only_at: None };
         let kept = client.lane().call(&call).await;
         kept.map(drop).map_err(|err| Error::Config(err.to_string()))
     }
--- a/crates/jacinthbeam-native/src/lib.rs
+++ b/crates/jacinthbeam-native/src/lib.rs
@@ -10,11 +10,11 @@
 pub mod settings;
 pub mod store;
 
-use jacinthbeam_host::wire::{Places, Wire};
+use jacinthbeam_host::wire::{StoreLayout, Wire};
 use jacinthbeam_store::Partition;
 
 /// Where things lie in the store.
-pub const PLACES: Places = Places {
+pub const STORE_LAYOUT: StoreLayout = StoreLayout {
     operator: || Partition { topic: "operator".into(), number: 0 },
     config_key: "config",
     evacuation_prefix: "evacuate/",
@@ -29,17 +29,17 @@
 pub fn wire() -> Wire {
     Wire {
         store: jacinthbeam_store::Wire { encode: store::encode, decode: store::decode },
-        places: PLACES,
-        caller: request::caller,
-        forward: request::forward,
-        answer: request::answer,
-        refused: request::refused,
-        delivered: request::delivered,
-        grant: grant::grant,
-        granted: grant::granted,
-        release: grant::release,
-        released: grant::released,
-        config: config::read,
-        server: server::read,
+        store_layout: STORE_LAYOUT,
+        parse_caller_headers: request::caller,
+        set_forward_headers: request::forward,
+        classify_response: request::answer,
+        set_refusal_headers: request::refused,
+        set_delivered_headers: request::delivered,
+        grant_request: grant::grant,
+        parse_grant_response: grant::granted,
+        release_request: grant::release,
+        parse_release_response: grant::released,
+        parse_config: config::read,
+        parse_server: server::read,
     }
 }
--- a/crates/jacinthbeam-native/src/request.rs
+++ b/crates/jacinthbeam-native/src/request.rs
@@ -5,7 +5,7 @@
 use http::{HeaderMap, HeaderName, HeaderValue, StatusCode, header, request::Parts};
 use jacinthbeam_host::{
     request::answer,
-    wire::{BadCaller, Caller, Forward, Told},
+    wire::{CallerHeaders, Forward, HeaderError, ResponseKind},
 };
 use jacinthbeam_range::Key;
 use jacinthbeam_types::prelude::*;
@@ -26,12 +26,12 @@
 pub const VERDICT: HeaderName = HeaderName::from_static("jacinthbeam-verdict");
 
 /// Reads the head of a caller's request.
-pub fn caller(parts: &Parts) -> Result<Caller, BadCaller> {
+pub fn caller(parts: &Parts) -> Result<CallerHeaders, HeaderError> {
     let id = parts.headers.get(REQUEST).cloned().unwrap_or_else(draw);
-    let patience: Option<u64> = parsed(&parts.headers, &DEADLINE, "jacinthbeam-deadline-ms")?;
+    let timeout: Option<u64> = parsed(&parts.headers, &DEADLINE, "jacinthbeam-deadline-ms")?;
     let idempotent = parsed(&parts.headers, &IDEMPOTENT, "jacinthbeam-idempotent")?;
     let key = parts.headers.get(KEY).map(|text| key_of(text.as_bytes()));
-    Ok(Caller { id, patience: patience.map(Duration::from_millis), key, idempotent })
+    Ok(CallerHeaders { id, timeout: timeout.map(Duration::from_millis), key, idempotent })
 }
 
 /// The number of a key: its hash, so that neighbouring texts don't gather at one owner.
@@ -47,10 +47,10 @@
     headers: &HeaderMap,
     header: &HeaderName,
     name: &'static str,
-) -> Result<Option<T>, BadCaller> {
+) -> Result<Option<T>, HeaderError> {
     let Some(value) = headers.get(header) else { return Ok(None) };
     let value = value.to_str().ok().and_then(|text| text.trim().parse().ok());
-    value.map(Some).ok_or(BadCaller::Header(name))
+    value.map(Some).ok_or(HeaderError::Header(name))
 }
 
 /// Sets what a request carries to a server.
@@ -72,19 +72,19 @@
     headers: &HeaderMap,
     id: &HeaderValue,
     server: &ServerId,
-) -> Told {
+) -> ResponseKind {
     if headers.get(REQUEST) != Some(id) {
-        return Told::Foreign;
+        return ResponseKind::Foreign;
     }
     if headers.get(SERVER) != Some(&server_id(server)) {
-        return Told::OtherServer;
+        return ResponseKind::OtherServer;
     }
     match (headers.get(RAN).map(HeaderValue::as_bytes), status) {
-        (Some(b"true"), _) => Told::Answer { good: status.is_success() },
-        (Some(b"false"), StatusCode::MISDIRECTED_REQUEST) => Told::NotOwner,
-        (Some(b"false"), StatusCode::SERVICE_UNAVAILABLE) => Told::Full,
-        (Some(b"false"), _) => Told::Refused,
-        _ => Told::Foreign,
+        (Some(b"true"), _) => ResponseKind::Answer { success: status.is_success() },
+        (Some(b"false"), StatusCode::MISDIRECTED_REQUEST) => ResponseKind::NotOwner,
+        (Some(b"false"), StatusCode::SERVICE_UNAVAILABLE) => ResponseKind::Full,
+        (Some(b"false"), _) => ResponseKind::Refused,
+        _ => ResponseKind::Foreign,
     }
 }
 
--- a/crates/jacinthbeam-native/tests/request.rs
+++ b/crates/jacinthbeam-native/tests/request.rs
@@ -3,11 +3,11 @@
 use std::time::Duration;
 
 use http::{HeaderMap, HeaderName, HeaderValue, Request, StatusCode, header};
-use jacinthbeam_host::wire::{BadCaller, Caller, Forward, Told};
+use jacinthbeam_host::wire::{CallerHeaders, Forward, HeaderError, ResponseKind};
 use jacinthbeam_native::request;
 use jacinthbeam_types::prelude::*;
 
-fn caller(headers: &[(&str, &str)]) -> Result<Caller, BadCaller> {
+fn caller(headers: &[(&str, &str)]) -> Result<CallerHeaders, HeaderError> {
     let mut req = Request::get("/tiles/7");
     for (name, value) in headers {
         req = req.header(*name, *value);
@@ -25,8 +25,8 @@
     ]);
     let key = Some(request::key_of(b"coquihalla"));
     let id = HeaderValue::from_static("a-7");
-    let patience = Some(Duration::from_millis(1500));
-    assert_eq!(read, Ok(Caller { id, patience, key, idempotent: Some(true) }));
+    let timeout = Some(Duration::from_millis(1500));
+    assert_eq!(read, Ok(CallerHeaders { id, timeout, key, idempotent: Some(true) }));
 }
 
 /// Two requests without a name must not be taken for one another.
@@ -34,19 +34,19 @@
 fn a_caller_without_a_name_is_given_one() {
     let (one, other) = (caller(&[]).unwrap(), caller(&[]).unwrap());
     assert_ne!(one.id, other.id);
-    assert_eq!((one.patience, one.key, one.idempotent), (None, None, None));
+    assert_eq!((one.timeout, one.key, one.idempotent), (None, None, None));
 }
 
 #[test]
 fn unreadable_headers_are_named() {
     let wrong = |name, value| caller(&[(name, value)]).unwrap_err();
-    let deadline = BadCaller::Header("jacinthbeam-deadline-ms");
+    let deadline = HeaderError::Header("jacinthbeam-deadline-ms");
     assert_eq!(wrong("jacinthbeam-deadline-ms", "soon"), deadline);
-    let idempotent = BadCaller::Header("jacinthbeam-idempotent");
+    let idempotent = HeaderError::Header("jacinthbeam-idempotent");
     assert_eq!(wrong("jacinthbeam-idempotent", "yes"), idempotent);
 }
 
-fn told(status: u16, headers: &[(&'static str, &'static str)]) -> Told {
+fn told(status: u16, headers: &[(&'static str, &'static str)]) -> ResponseKind {
     let pairs = headers
         .iter()
         .map(|(name, value)| (HeaderName::from_static(name), HeaderValue::from_static(value)));
@@ -62,15 +62,15 @@
     let id = ("jacinthbeam-request", "a-7");
     let server = ("jacinthbeam-server", "s-1");
     let (ran, not) = (("jacinthbeam-ran", "true"), ("jacinthbeam-ran", "false"));
-    assert_eq!(told(200, &[id, server, ran]), Told::Answer { good: true });
-    assert_eq!(told(500, &[id, server, ran]), Told::Answer { good: false });
-    assert_eq!(told(421, &[id, server, not]), Told::NotOwner);
-    assert_eq!(told(503, &[id, server, not]), Told::Full);
-    assert_eq!(told(400, &[id, server, not]), Told::Refused);
-    assert_eq!(told(421, &[id, ("jacinthbeam-server", "s-2"), not]), Told::OtherServer);
-    assert_eq!(told(200, &[("jacinthbeam-request", "a-8"), server, ran]), Told::Foreign);
-    assert_eq!(told(200, &[server, ran]), Told::Foreign);
-    assert_eq!(told(503, &[id, server]), Told::Foreign);
+    assert_eq!(told(200, &[id, server, ran]), ResponseKind::Answer { success: true });
+    assert_eq!(told(500, &[id, server, ran]), ResponseKind::Answer { success: false });
+    assert_eq!(told(421, &[id, server, not]), ResponseKind::NotOwner);
+    assert_eq!(told(503, &[id, server, not]), ResponseKind::Full);
+    assert_eq!(told(400, &[id, server, not]), ResponseKind::Refused);
+    assert_eq!(told(421, &[id, ("jacinthbeam-server", "s-2"), not]), ResponseKind::OtherServer);
+    assert_eq!(told(200, &[("jacinthbeam-request", "a-8"), server, ran]), ResponseKind::Foreign);
+    assert_eq!(told(200, &[server, ran]), ResponseKind::Foreign);
+    assert_eq!(told(503, &[id, server]), ResponseKind::Foreign);
 }
 
 #[test]
--- a/crates/jacinthbeam-standin/src/backend.rs
+++ b/crates/jacinthbeam-standin/src/backend.rs
@@ -14,7 +14,7 @@
 use http::{HeaderMap, HeaderValue, Request, Response, StatusCode};
 use http_body_util::Full;
 use jacinthbeam_native::{
-    PLACES,
+    STORE_LAYOUT,
     grant::{GRANT, Grant, Handover, RELEASE, Release},
     request::{KEY, RAN, REQUEST, SERVER, key_of, server_id},
     server::Entry,
@@ -166,7 +166,7 @@
         };
         let key = options.id.to_string();
         let call =
-            Call::Put { to: (PLACES.servers)(), key, value: entry.to_bytes(), only_at: None };
+            Call::Put { to: (STORE_LAYOUT.servers)(), key, value: entry.to_bytes(), only_at: None };
         // A store that is away is part of many tests; the next heartbeat says the same again.
         let _ = lane.call(&call).await;
         tokio::time::sleep(HEARTBEAT).await;
--- a/crates/jacinthbeam-standin/src/serve.rs
+++ b/crates/jacinthbeam-standin/src/serve.rs
@@ -11,7 +11,7 @@
 use bytes::Bytes;
 use http::{Request, Response, StatusCode};
 use http_body_util::Full;
-use jacinthbeam_native::{PLACES, store as wire};
+use jacinthbeam_native::{STORE_LAYOUT, store as wire};
 use jacinthbeam_store::{Call, Reply};
 use tokio::task::JoinHandle;
 
@@ -112,7 +112,7 @@
     fn call(&mut self, call: &Call) -> Result<Reply, jacinthbeam_store::Error> {
         let now = Instant::now();
         if let Call::Put { to, key, .. } = call
-            && *to == (PLACES.servers)()
+            && *to == (STORE_LAYOUT.servers)()
         {
             self.seen.insert(key.clone(), now);
         }
@@ -129,7 +129,7 @@
             state.seen.iter().filter(|(_, at)| old(at)).map(|(id, _)| id.clone()).collect();
         for id in gone {
             state.seen.remove(&id);
-            state.store.put(&(PLACES.servers)(), &id, Bytes::new());
+            state.store.put(&(STORE_LAYOUT.servers)(), &id, Bytes::new());
         }
     }
 }
