--- a/crates/jacinthbeam-host/src/process/control/learn.rs
+++ b/crates/jacinthbeam-host/src/process/control/learn.rs
@@ -13,7 +13,7 @@
         known::Changed,
         peers::{HostEntry, news::News, order::Neighbours},
     },
-    version::{ColdServer, KnownTo, Leaving},
+    version::{ColdServer, Freshness, Leaving},
 };
 
 impl Control {
@@ -58,10 +58,10 @@
 
     /// Tells the traffic thread how far what is known reaches: after what is known itself.
     pub(super) fn tell_known_to(&self) {
-        self.known_to.send_replace(KnownTo {
+        self.freshness.send_replace(Freshness {
             config: self.known.config_as_of(),
             servers: self.known.servers_as_of(),
-            told: Some(self.clock.now()),
+            updated: Some(self.clock.now()),
         });
     }
 
--- a/crates/jacinthbeam-host/src/process/control/mod.rs
+++ b/crates/jacinthbeam-host/src/process/control/mod.rs
@@ -55,7 +55,7 @@
     connection::accept::Phase,
     operators,
     request::answer,
-    version::{KnownTo, View},
+    version::{Freshness, View},
 };
 use input::{Input, Tx};
 use state::Control;
@@ -69,7 +69,7 @@
     pub(super) usage: usage::Counted,
     pub(super) incarnation: Incarnation,
     pub(super) view: watch::Sender<Arc<View>>,
-    pub(super) known_to: watch::Sender<KnownTo>,
+    pub(super) freshness: watch::Sender<Freshness>,
     pub(super) gates: watch::Sender<Gates>,
     pub(super) phase: watch::Receiver<Phase>,
     /// What the traffic thread sees of servers that ended.
--- a/crates/jacinthbeam-host/src/process/control/state.rs
+++ b/crates/jacinthbeam-host/src/process/control/state.rs
@@ -41,7 +41,7 @@
         traffic::Gates,
         usage,
     },
-    version::{ColdServer, KnownTo, View},
+    version::{ColdServer, Freshness, View},
 };
 
 /// A grantor and what goes with it.
@@ -63,7 +63,7 @@
     pub(super) me: Leader,
     pub(super) view: watch::Sender<Arc<View>>,
     /// How far the view reaches.
-    pub(super) known_to: watch::Sender<KnownTo>,
+    pub(super) freshness: watch::Sender<Freshness>,
     pub(super) gates: watch::Sender<Gates>,
     /// When gates were last told.
     pub(super) gated: Option<Instant>,
@@ -112,7 +112,7 @@
 
 impl Control {
     pub(super) fn new(start: Start, tx: Tx, socket: Rc<UdpSocket>) -> Self {
-        let Start { settings, wire, clock, counters, incarnation, view, known_to, gates, .. } =
+        let Start { settings, wire, clock, counters, incarnation, view, freshness, gates, .. } =
             start;
         let me = Leader { host: settings.host.clone(), incarnation, addr: settings.peers };
         let standby = Standby::new(clock.now());
@@ -126,7 +126,7 @@
             counters,
             me: me.clone(),
             view,
-            known_to,
+            freshness,
             gates,
             gated: None,
             noted: None,
--- a/crates/jacinthbeam-host/src/process/mod.rs
+++ b/crates/jacinthbeam-host/src/process/mod.rs
@@ -37,7 +37,7 @@
 use crate::{
     Settings, Wire,
     connection::accept::Phase,
-    version::{KnownTo, View},
+    version::{Freshness, View},
 };
 use metrics::Counters;
 
@@ -116,7 +116,7 @@
     let incarnation = Incarnation(fastrand::u64(1..));
     let (view_tx, view) = watch::channel(Arc::new(View::default()));
     let (gates_tx, gates) = watch::channel(traffic::Gates::new());
-    let (known_to_tx, known_to) = watch::channel(KnownTo::default());
+    let (freshness_tx, freshness) = watch::channel(Freshness::default());
     let (phase, phase_rx) = watch::channel(Phase::Serving);
     let (done_tx, done) = tokio::sync::oneshot::channel();
     let (crashes_tx, crashes) = tokio::sync::mpsc::unbounded_channel();
@@ -129,7 +129,7 @@
         usage: usage.clone(),
         incarnation,
         view: view_tx,
-        known_to: known_to_tx,
+        freshness: freshness_tx,
         gates: gates_tx,
         phase: phase_rx.clone(),
         crashes,
@@ -149,7 +149,7 @@
         counters,
         usage,
         view,
-        known_to,
+        freshness,
         phase: phase.subscribe(),
         gates,
         crashes: crashes_tx,
--- a/crates/jacinthbeam-host/src/process/traffic.rs
+++ b/crates/jacinthbeam-host/src/process/traffic.rs
@@ -23,7 +23,7 @@
     Settings, Wire,
     connection::{Pool, accept::Phase},
     process::{broken::Broken, metrics::Counters, stories::Stories, usage},
-    version::{KnownTo, View},
+    version::{Freshness, View},
 };
 
 /// Owners that may be sent a part of what is asked of them, and until when that stands.
@@ -47,7 +47,7 @@
     /// Bytes of request bodies that are held.
     pub body_bytes: Cell<usize>,
     view: watch::Receiver<Arc<View>>,
-    known_to: watch::Receiver<KnownTo>,
+    freshness: watch::Receiver<Freshness>,
     phase: watch::Receiver<Phase>,
     gates: watch::Receiver<Gates>,
     crashes: mpsc::UnboundedSender<Fact>,
@@ -98,7 +98,7 @@
     /// What is known, as it changes.
     pub view: watch::Receiver<Arc<View>>,
     /// How far what is known reaches.
-    pub known_to: watch::Receiver<KnownTo>,
+    pub freshness: watch::Receiver<Freshness>,
     /// How far a stop has come.
     pub phase: watch::Receiver<Phase>,
     /// What busy owners may be sent, as it changes.
@@ -111,7 +111,7 @@
     /// State of a process that has served nothing yet.
     pub fn new(start: Start) -> Self {
         let Start { settings, wire, clock, counters, usage, .. } = start;
-        let Start { view, known_to, phase, gates, crashes, .. } = start;
+        let Start { view, freshness, phase, gates, crashes, .. } = start;
         Self {
             settings,
             wire,
@@ -121,7 +121,7 @@
             stories: Stories::default(),
             body_bytes: Cell::new(0),
             view,
-            known_to,
+            freshness,
             phase,
             gates,
             crashes,
@@ -151,19 +151,19 @@
     /// heard, that is false for a route that was just added, and the request is lost. Told to come back, the caller reaches another host
     /// or a newer configuration. Asked on this thread and by its own clock, so that it holds also while the other one is held up.
     pub fn config_may_be_old(&self) -> bool {
-        let as_of = self.known_to.borrow().config;
+        let as_of = self.freshness.borrow().config;
         let age = as_of.map(|at| self.now().saturating_duration_since(at));
         age.is_none_or(|age| age >= self.settings.config_within)
     }
 
     /// Whether servers may have left `drain_within` ago and this host has had no time to hear of it.
-    pub fn is_held_up(&self, drain_within: Duration) -> bool {
-        self.known_to.borrow().is_held_up(self.now(), drain_within)
+    pub fn is_stalled(&self, drain_within: Duration) -> bool {
+        self.freshness.borrow().is_stalled(self.now(), drain_within)
     }
 
     /// How old what is known of the servers is; `None` if nothing is known.
     pub fn servers_age(&self) -> Option<Duration> {
-        let as_of = self.known_to.borrow().servers;
+        let as_of = self.freshness.borrow().servers;
         as_of.map(|at| self.now().saturating_duration_since(at))
     }
 
--- a/crates/jacinthbeam-host/src/request/pick.rs
+++ b/crates/jacinthbeam-host/src/request/pick.rs
@@ -31,7 +31,7 @@
         drained: settings.drain_within.saturating_sub(ON_THE_WAY),
         evacuated: settings.evacuate_within.saturating_sub(ON_THE_WAY),
     };
-    if job.traffic.is_held_up(grace.drained) {
+    if job.traffic.is_stalled(grace.drained) {
         return None;
     }
     let server = match job.keyed {
--- a/crates/jacinthbeam-host/src/version/mod.rs
+++ b/crates/jacinthbeam-host/src/version/mod.rs
@@ -2,4 +2,4 @@
 
 mod view;
 
-pub use view::{ColdServer, Grace, KnownTo, Leaving, View};
+pub use view::{ColdServer, Freshness, Grace, Leaving, View};
--- a/crates/jacinthbeam-host/src/version/view.rs
+++ b/crates/jacinthbeam-host/src/version/view.rs
@@ -77,27 +77,27 @@
 
 /// How far what a host knows reaches. Told beside the view, since it changes with each read, also of one that finds nothing new.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct KnownTo {
+pub struct Freshness {
     /// No newer configuration than that of the view had been acknowledged before this moment; `None` if nothing is known of it.
     pub config: Option<Instant>,
     /// Everything that the store had taken of the servers before this moment is in the view.
     pub servers: Option<Instant>,
     /// When the control thread last said so. It does at each of its ticks.
-    pub told: Option<Instant>,
+    pub updated: Option<Instant>,
 }
 
 /// Silence of the control thread, in ten ticks, after which it counts as held up.
 const HELD_UP_AFTER: Duration = Duration::from_secs(1);
 
-impl KnownTo {
+impl Freshness {
     /// Whether servers of the view may have left so long ago that no request may reach them, and this host alone doesn't know.
     ///
     /// A host that has no time for what it hears goes on using what has left: a request was sent 2.7 s after the store had taken the word
     /// of a server's leaving, where 2 s are allowed. Told to come back, its callers reach another host. While the control thread has
     /// its turns, old news mean that the store is away, for everybody as far as this host can tell, and serving goes on.
-    pub fn is_held_up(&self, now: Instant, drain_within: Duration) -> bool {
+    pub fn is_stalled(&self, now: Instant, drain_within: Duration) -> bool {
         let since = |at: Option<Instant>| at.map(|at| now.saturating_duration_since(at));
-        let silent = since(self.told).is_some_and(|silent| silent > HELD_UP_AFTER);
+        let silent = since(self.updated).is_some_and(|silent| silent > HELD_UP_AFTER);
         silent && since(self.servers).is_some_and(|age| age > drain_within)
     }
 }
--- a/crates/jacinthbeam-host/tests/held_up.rs
+++ b/crates/jacinthbeam-host/tests/held_up.rs
@@ -2,14 +2,14 @@
 
 use std::time::{Duration, Instant};
 
-use jacinthbeam_host::version::KnownTo;
+use jacinthbeam_host::version::Freshness;
 
 /// Time in which a leaving server may still get requests, less what a request takes on its way.
 const DRAIN_WITHIN: Duration = Duration::from_millis(1700);
 
-fn known(now: Instant, servers: u64, told: u64) -> KnownTo {
+fn known(now: Instant, servers: u64, told: u64) -> Freshness {
     let ago = |ms| now.checked_sub(Duration::from_millis(ms));
-    KnownTo { config: None, servers: ago(servers), told: ago(told) }
+    Freshness { config: None, servers: ago(servers), updated: ago(told) }
 }
 
 /// A server gets a request 2.7 s after the store has taken the word of its leaving, and has ended.
@@ -19,8 +19,8 @@
 #[test]
 fn a_host_that_has_no_time_for_news_sends_nothing() {
     let now = Instant::now() + Duration::from_secs(10);
-    assert!(known(now, 1800, 1100).is_held_up(now, DRAIN_WITHIN));
-    assert!(!known(now, 1600, 1100).is_held_up(now, DRAIN_WITHIN), "nothing has left for too long");
+    assert!(known(now, 1800, 1100).is_stalled(now, DRAIN_WITHIN));
+    assert!(!known(now, 1600, 1100).is_stalled(now, DRAIN_WITHIN), "nothing has left for too long");
 }
 
 /// The store is away for everybody for ten seconds. Refusing until it is back would be an outage; the control thread has its turns, and serving
@@ -28,11 +28,11 @@
 #[test]
 fn a_host_whose_store_is_away_goes_on() {
     let now = Instant::now() + Duration::from_secs(30);
-    assert!(!known(now, 10_000, 100).is_held_up(now, DRAIN_WITHIN));
+    assert!(!known(now, 10_000, 100).is_stalled(now, DRAIN_WITHIN));
 }
 
 /// A process that has just started knows nothing yet, and refuses for that reason.
 #[test]
 fn a_host_that_knows_nothing_is_not_held_up() {
-    assert!(!KnownTo::default().is_held_up(Instant::now(), DRAIN_WITHIN));
+    assert!(!Freshness::default().is_stalled(Instant::now(), DRAIN_WITHIN));
 }
