--- a/crates/jacinthbeam-host/src/connection/pool.rs
+++ b/crates/jacinthbeam-host/src/connection/pool.rs
@@ -42,15 +42,15 @@
 
 #[derive(Debug)]
 struct Idle {
-    lent: Lent,
+    conn: PooledConnection,
     until: Instant,
 }
 
 /// A connection in use. Dropping it closes it.
 #[derive(Debug)]
-pub struct Lent {
+pub struct PooledConnection {
     /// The connection.
-    pub connection: Connection<Body>,
+    pub inner: Connection<Body>,
     /// Whether it has carried a request before.
     pub reused: bool,
     _counted: Counted,
@@ -95,17 +95,17 @@
     }
 
     /// A connection that is ready for a request: the one used last, or a new one if there are fewer than `most`.
-    pub async fn lend(&self, now: Instant, most: u32) -> Result<Lent, Error> {
+    pub async fn acquire(&self, now: Instant, most: u32) -> Result<PooledConnection, Error> {
         while let Some(idle) = self.pop() {
-            if now < idle.until && idle.lent.connection.is_quiet() {
-                return Ok(idle.lent);
+            if now < idle.until && idle.conn.inner.is_quiet() {
+                return Ok(idle.conn);
             }
         }
-        self.lend_new(most).await
+        self.connect(most).await
     }
 
     /// A new connection.
-    pub async fn lend_new(&self, most: u32) -> Result<Lent, Error> {
+    pub async fn connect(&self, most: u32) -> Result<PooledConnection, Error> {
         if self.open.get() >= most {
             // An idle one makes room.
             drop(self.pop());
@@ -117,7 +117,9 @@
         let counted = Counted(self.open.clone());
         let opened = jacinthbeam_connection::open(Default::default(), self.addr, ());
         match tokio::time::timeout(CONNECT_WITHIN, opened).await {
-            Ok(Ok(connection)) => Ok(Lent { connection, reused: false, _counted: counted }),
+            Ok(Ok(connection)) => {
+                Ok(PooledConnection { inner: connection, reused: false, _counted: counted })
+            }
             Ok(Err(err)) => Err(Error::Connect(err)),
             Err(_) => Err(Error::Silent),
         }
@@ -128,11 +130,11 @@
     }
 
     /// Takes a connection back whose last answer was whole. `keep_alive` is the server's own bound of idleness.
-    pub fn give_back(&self, mut lent: Lent, now: Instant, keep_alive: Option<Duration>) {
-        lent.reused = true;
+    pub fn release(&self, mut conn: PooledConnection, now: Instant, keep_alive: Option<Duration>) {
+        conn.reused = true;
         let bound = keep_alive.map_or(MAX_IDLE, |bound| bound.saturating_sub(BEFORE_CLOSE));
         let until = now + bound.min(MAX_IDLE);
-        self.idle.borrow_mut().push_back(Idle { lent, until });
+        self.idle.borrow_mut().push_back(Idle { conn, until });
     }
 
     /// Closes connections that were idle for too long.
--- a/crates/jacinthbeam-host/src/request/crash.rs
+++ b/crates/jacinthbeam-host/src/request/crash.rs
@@ -16,7 +16,7 @@
 use jacinthbeam_types::prelude::*;
 use tokio::task::spawn_local;
 
-use super::{same, send::Whole};
+use super::{same, send::BufferedRequest};
 use crate::{
     connection::pool,
     process::{broken::Running, traffic::Traffic},
@@ -43,7 +43,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Subject<'a> {
     pub(super) traffic: &'a Rc<Traffic>,
-    pub(super) whole: &'a Whole,
+    pub(super) whole: &'a BufferedRequest,
     pub(super) caller: IpAddr,
 }
 
@@ -138,10 +138,10 @@
         if !state.broken.may_look(traffic.now()) {
             return false;
         }
-        match state.pool.lend_new(most_connections).await {
-            Ok(lent) => {
+        match state.pool.connect(most_connections).await {
+            Ok(conn) => {
                 state.broken.on_taken(traffic.now());
-                state.pool.give_back(lent, traffic.now(), None);
+                state.pool.release(conn, traffic.now(), None);
                 return false;
             }
             Err(err) if err.is_refused() => return tell(traffic, server),
--- a/crates/jacinthbeam-host/src/request/job.rs
+++ b/crates/jacinthbeam-host/src/request/job.rs
@@ -15,7 +15,7 @@
 use super::{
     crash::Subject,
     same,
-    send::{self, Whole},
+    send::{self, BufferedRequest},
 };
 use crate::{
     process::{stories, traffic::Traffic, usage::Use},
@@ -26,7 +26,7 @@
 /// Everything that is decided once for a request.
 pub(super) struct Job {
     pub(super) traffic: Rc<Traffic>,
-    pub(super) whole: Whole,
+    pub(super) whole: BufferedRequest,
     /// Where it came from.
     pub(super) caller: IpAddr,
     pub(super) route: Arc<Route>,
--- a/crates/jacinthbeam-host/src/request/same.rs
+++ b/crates/jacinthbeam-host/src/request/same.rs
@@ -3,17 +3,20 @@
 use http::header;
 use jacinthbeam_crash::{Fingerprint, Suspects, fingerprint::Head};
 
-use super::send::Whole;
+use super::send::BufferedRequest;
 
 /// The fingerprint of a request: its method, the host and path that its caller named, and its body.
 ///
 /// The service isn't part of it: a route may lead elsewhere from one attempt to the next, and the request goes along.
-pub(super) fn fingerprint(whole: &Whole) -> Fingerprint {
+pub(super) fn fingerprint(whole: &BufferedRequest) -> Fingerprint {
     Fingerprint::of(head(whole), &whole.body)
 }
 
 /// The same, if it may be one of `suspects`. A body is digested for those alone.
-pub(super) fn fingerprint_among(suspects: &Suspects, whole: &Whole) -> Option<Fingerprint> {
+pub(super) fn fingerprint_among(
+    suspects: &Suspects,
+    whole: &BufferedRequest,
+) -> Option<Fingerprint> {
     if suspects.is_empty() {
         return None;
     }
@@ -22,7 +25,7 @@
 }
 
 /// What the head of a request says.
-pub(super) fn head(whole: &Whole) -> Head {
+pub(super) fn head(whole: &BufferedRequest) -> Head {
     let path = whole.target.path().as_bytes();
     let query = whole.target.query().unwrap_or_default().as_bytes();
     let host = whole.headers.get(header::HOST).map_or(&[][..], |host| host.as_bytes());
--- a/crates/jacinthbeam-host/src/request/send.rs
+++ b/crates/jacinthbeam-host/src/request/send.rs
@@ -15,7 +15,7 @@
 use tokio::time::Instant as TimerInstant;
 
 use crate::{
-    connection::pool::{self, Lent},
+    connection::pool::{self, PooledConnection},
     process::traffic::{ServerState, Traffic},
     send_outcome::{Lost, NotRun, SendOutcome},
     wire::{Forward, ResponseKind},
@@ -23,7 +23,7 @@
 
 /// A request that was read whole.
 #[derive(Debug, Clone)]
-pub struct Whole {
+pub struct BufferedRequest {
     /// Its method.
     pub method: Method,
     /// Path and query, as the caller sent them.
@@ -65,7 +65,7 @@
 /// Sends a request and waits for the whole answer until `deadline`. Dropping the future cancels the request at the server.
 pub async fn send(
     traffic: &Traffic,
-    whole: &Whole,
+    whole: &BufferedRequest,
     server: &Server,
     most_connections: u32,
     deadline: Instant,
@@ -103,24 +103,24 @@
 
 async fn exchange(
     traffic: &Traffic,
-    whole: &Whole,
+    whole: &BufferedRequest,
     server: &Server,
     state: &ServerState,
     most: u32,
     deadline: Instant,
 ) -> Result<SendOutcome, NotRun> {
-    let mut lent = lend(state.pool.lend(traffic.now(), most).await)?;
+    let mut conn = map_pool_error(state.pool.acquire(traffic.now(), most).await)?;
     loop {
         let left = deadline.saturating_duration_since(traffic.now());
         let by = TimerInstant::now() + left + LAST_WORD;
         let req = prepare(traffic, whole, server, left);
-        let sent = tokio::time::timeout_at(by, lent.connection.sender.try_send_request(req)).await;
+        let sent = tokio::time::timeout_at(by, conn.inner.sender.try_send_request(req)).await;
         match sent {
             Err(_) => return Ok(SendOutcome::Lost(Lost::Late)),
-            Ok(Ok(res)) => return Ok(take(traffic, whole, &server.id, state, lent, res, by).await),
-            Ok(Err(mut err)) => match (err.take_message(), lent.reused) {
+            Ok(Ok(res)) => return Ok(take(traffic, whole, &server.id, state, conn, res, by).await),
+            Ok(Err(mut err)) => match (err.take_message(), conn.reused) {
                 // hyper gives a request back only if nothing of it was written.
-                (Some(_), true) => lent = lend(state.pool.lend_new(most).await)?,
+                (Some(_), true) => conn = map_pool_error(state.pool.connect(most).await)?,
                 (Some(_), false) => return Err(NotRun::Unreachable),
                 (None, _) => {
                     let (id, err) = (&whole.id, err.into_error());
@@ -132,8 +132,10 @@
     }
 }
 
-fn lend(lent: Result<Lent, pool::Error>) -> Result<Lent, NotRun> {
-    lent.map_err(|err| match err {
+fn map_pool_error(
+    result: Result<PooledConnection, pool::Error>,
+) -> Result<PooledConnection, NotRun> {
+    result.map_err(|err| match err {
         pool::Error::Full => NotRun::NoConnection,
         err if err.is_refused() => NotRun::NotListening,
         pool::Error::Connect(_) | pool::Error::Silent => NotRun::Unreachable,
@@ -142,7 +144,7 @@
 
 fn prepare(
     traffic: &Traffic,
-    whole: &Whole,
+    whole: &BufferedRequest,
     server: &Server,
     left: Duration,
 ) -> Request<pool::Body> {
@@ -159,10 +161,10 @@
 
 async fn take(
     traffic: &Traffic,
-    whole: &Whole,
+    whole: &BufferedRequest,
     server: &ServerId,
     state: &ServerState,
-    lent: Lent,
+    conn: PooledConnection,
     res: Response<Incoming>,
     by: TimerInstant,
 ) -> SendOutcome {
@@ -185,7 +187,7 @@
         Err(_) => return refusal(told).unwrap_or(SendOutcome::Lost(Lost::Late)),
     };
     if !last {
-        keep(traffic, state, lent, keep_alive).await;
+        keep(traffic, state, conn, keep_alive).await;
     }
     if let Some(refused) = refusal(told) {
         return refused;
@@ -200,10 +202,15 @@
 /// Keeps a connection whose answer was read whole, if the request was written whole too and nothing more has come.
 ///
 /// A server may answer before it has read a long body. What it reads next must be the rest of that body, not another request.
-async fn keep(traffic: &Traffic, state: &ServerState, mut lent: Lent, bound: Option<Duration>) {
-    let ready = tokio::time::timeout(READY_WITHIN, lent.connection.sender.ready()).await;
-    if matches!(ready, Ok(Ok(()))) && lent.connection.is_quiet() {
-        state.pool.give_back(lent, traffic.now(), bound);
+async fn keep(
+    traffic: &Traffic,
+    state: &ServerState,
+    mut conn: PooledConnection,
+    bound: Option<Duration>,
+) {
+    let ready = tokio::time::timeout(READY_WITHIN, conn.inner.sender.ready()).await;
+    if matches!(ready, Ok(Ok(()))) && conn.inner.is_quiet() {
+        state.pool.release(conn, traffic.now(), bound);
     }
 }
 
--- a/crates/jacinthbeam-host/src/request/serve.rs
+++ b/crates/jacinthbeam-host/src/request/serve.rs
@@ -22,7 +22,7 @@
     job::{Job, offer},
     pick::find_server,
     refuse::{CONFIG_IN, bad, bad_body, refuse},
-    send::Whole,
+    send::BufferedRequest,
 };
 use crate::{
     connection::accept::CallerAddr,
@@ -92,7 +92,13 @@
     strip(&mut kept, &KEPT);
     kept.remove(header::CONTENT_LENGTH);
     let target = parts.uri.path_and_query().cloned().map(http::Uri::from).unwrap_or_default();
-    let whole = Whole { method: parts.method, target, headers: kept, body, id: caller.id.clone() };
+    let whole = BufferedRequest {
+        method: parts.method,
+        target,
+        headers: kept,
+        body,
+        id: caller.id.clone(),
+    };
     let usage = Use::new(&traffic.usage, service.team.as_ref(), &name);
     let job = Job {
         traffic: traffic.clone(),
