--- a/crates/jacinthbeam-host/src/request/body.rs
+++ b/crates/jacinthbeam-host/src/request/body.rs
@@ -12,14 +12,14 @@
 use tokio::task::spawn_local;
 
 /// Bytes of bodies that one process holds at a time: a quarter of the memory of the smallest host.
-const MOST_HELD: usize = 64 << 20;
+const MAX_BUFFERED_BYTES: usize = 64 << 20;
 
 /// Bytes that are read and dropped after a refusal, and for how long: what a link of 100 Mbit/s brings in two seconds.
-const MOST_DISCARDED: usize = 24 << 20;
-const DISCARD_FOR: Duration = Duration::from_secs(2);
+const MAX_DISCARDED_BYTES: usize = 24 << 20;
+const DISCARD_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Longest pause within a body.
-const PAUSE: Duration = Duration::from_secs(10);
+const MAX_PAUSE: Duration = Duration::from_secs(10);
 
 /// Why there is no whole body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -36,36 +36,36 @@
 
 /// Bytes counted against [`MOST_HELD`] until dropped.
 #[derive(Debug)]
-pub(super) struct Held<'a> {
-    count: &'a Cell<usize>,
-    mine: usize,
+pub(super) struct Reservation<'a> {
+    total: &'a Cell<usize>,
+    reserved: usize,
 }
 
-impl Held<'_> {
-    fn add(&mut self, bytes: usize) -> Result<(), Error> {
-        let all = self.count.get() + bytes;
-        if all > MOST_HELD {
+impl Reservation<'_> {
+    fn reserve(&mut self, bytes: usize) -> Result<(), Error> {
+        let all = self.total.get() + bytes;
+        if all > MAX_BUFFERED_BYTES {
             return Err(Error::NoRoom);
         }
-        self.count.set(all);
-        self.mine += bytes;
+        self.total.set(all);
+        self.reserved += bytes;
         Ok(())
     }
 }
 
-impl Drop for Held<'_> {
+impl Drop for Reservation<'_> {
     fn drop(&mut self) {
-        self.count.set(self.count.get() - self.mine);
+        self.total.set(self.total.get() - self.reserved);
     }
 }
 
 /// Reads a body of at most `most` bytes.
 pub(super) async fn read(
     mut body: Incoming,
-    most: usize,
-    count: &Cell<usize>,
-) -> Result<(Bytes, Held<'_>), Error> {
-    let read = read_whole(&mut body, most, count).await;
+    max_bytes: usize,
+    total: &Cell<usize>,
+) -> Result<(Bytes, Reservation<'_>), Error> {
+    let read = read_whole(&mut body, max_bytes, total).await;
     if matches!(read, Err(Error::TooLong | Error::NoRoom)) {
         spawn_local(discard(body));
     }
@@ -77,40 +77,40 @@
 /// A connection that is closed with unread bytes is reset, and the reset overtakes the refusal: the caller would learn nothing
 /// and send the same again.
 async fn discard(mut body: Incoming) {
-    let mut seen = 0;
+    let mut discarded = 0;
     let rest = async {
         while let Some(Ok(frame)) = body.frame().await {
-            seen += frame.data_ref().map_or(0, Bytes::len);
-            if seen > MOST_DISCARDED {
+            discarded += frame.data_ref().map_or(0, Bytes::len);
+            if discarded > MAX_DISCARDED_BYTES {
                 return;
             }
         }
     };
-    if tokio::time::timeout(DISCARD_FOR, rest).await.is_err() {
+    if tokio::time::timeout(DISCARD_TIMEOUT, rest).await.is_err() {
         tracing::debug!(part = "request", event = "rest-not-read");
     }
 }
 
 async fn read_whole<'a>(
     body: &mut Incoming,
-    most: usize,
-    count: &'a Cell<usize>,
-) -> Result<(Bytes, Held<'a>), Error> {
-    let mut held = Held { count, mine: 0 };
-    if body.size_hint().lower() > most as u64 {
+    max_bytes: usize,
+    total: &'a Cell<usize>,
+) -> Result<(Bytes, Reservation<'a>), Error> {
+    let mut reservation = Reservation { total, reserved: 0 };
+    if body.size_hint().lower() > max_bytes as u64 {
         return Err(Error::TooLong);
     }
-    let mut whole = BytesMut::new();
+    let mut buffer = BytesMut::new();
     while let Some(frame) =
-        tokio::time::timeout(PAUSE, body.frame()).await.map_err(|_| Error::Silent)?
+        tokio::time::timeout(MAX_PAUSE, body.frame()).await.map_err(|_| Error::Silent)?
     {
         let frame = frame.map_err(|_| Error::Broken)?;
         let Ok(data) = frame.into_data() else { continue };
-        held.add(data.len())?;
-        if whole.len() + data.len() > most {
+        reservation.reserve(data.len())?;
+        if buffer.len() + data.len() > max_bytes {
             return Err(Error::TooLong);
         }
-        whole.extend_from_slice(&data);
+        buffer.extend_from_slice(&data);
     }
-    Ok((whole.freeze(), held))
+    Ok((buffer.freeze(), reservation))
 }
--- a/crates/jacinthbeam-host/src/request/end.rs
+++ b/crates/jacinthbeam-host/src/request/end.rs
@@ -10,19 +10,19 @@
 use super::{
     crash::Quarantine,
     job::Job,
-    refuse::{OWNER_IN, not_run, refuse},
+    refuse::{OWNER_RETRY_DELAY, not_run, refuse},
 };
 use crate::{
     process::stories::Basis,
     send_outcome::{Lost, SendOutcome},
 };
 
-pub(super) fn give_up(
+pub(super) fn finish(
     job: &Job,
     last: Option<SendOutcome>,
     tried: &[ServerId],
 ) -> Response<Full<Bytes>> {
-    let room_in = overload_retry_delay(job.route.objective);
+    let overload_delay = overload_retry_delay(job.route.objective);
     let refusal = match last {
         Some(SendOutcome::Answered { mut res, success }) => {
             job.traffic.counters.on_answer(success, job.traffic.now() - job.received);
@@ -32,15 +32,19 @@
         }
         Some(SendOutcome::Lost(Lost::Late)) => Refusal::may_have_run(Reason::DeadlinePassed),
         Some(SendOutcome::Lost(Lost::Broken)) => Refusal::may_have_run(Reason::ConnectionLost),
-        Some(SendOutcome::NotRun(why)) => not_run(why, room_in),
-        None if tried.is_empty() => Refusal::not_run(Reason::NoOwner).retry_after(OWNER_IN),
-        None => Refusal::not_run(Reason::Overloaded).retry_after(room_in),
+        Some(SendOutcome::NotRun(why)) => not_run(why, overload_delay),
+        None if tried.is_empty() => {
+            Refusal::not_run(Reason::NoOwner).retry_after(OWNER_RETRY_DELAY)
+        }
+        None => Refusal::not_run(Reason::Overloaded).retry_after(overload_delay),
     };
     let left = job.left();
-    let hint = refusal.retry_after.map(|room_in| retry_after(room_in, left, fastrand::f64()));
+    let hint = refusal
+        .retry_after
+        .map(|overload_delay| retry_after(overload_delay, left, fastrand::f64()));
     let refusal = Refusal { retry_after: hint, ..refusal };
     let basis = || basis(job, tried.len());
-    refuse(&job.traffic, &job.whole.id, &job.route.name, &refusal, job.received, basis)
+    refuse(&job.traffic, &job.request.id, &job.route.name, &refusal, job.received, basis)
 }
 
 /// Answers a request that is not sent to a server for the servers that crashed under it. One that stands has no hint when to come back: no
@@ -49,9 +53,9 @@
     job.traffic.counters.on_refused_for_crashes(quarantine.request);
     let refusal = Refusal::not_run(Reason::EndsServers);
     let hint = || retry_after(SLOT, job.left(), fastrand::f64());
-    let refusal = if quarantine.is_proven { refusal } else { refusal.retry_after(hint()) };
+    let refusal = if quarantine.is_confirmed { refusal } else { refusal.retry_after(hint()) };
     let basis = || basis(job, 0);
-    refuse(&job.traffic, &job.whole.id, &job.route.name, &refusal, job.received, basis)
+    refuse(&job.traffic, &job.request.id, &job.route.name, &refusal, job.received, basis)
 }
 
 /// What the refusal of a request is decided by, for its line in the log.
--- a/crates/jacinthbeam-host/src/request/same.rs
+++ b/crates/jacinthbeam-host/src/request/fingerprint.rs
@@ -8,26 +8,23 @@
 /// The fingerprint of a request: its method, the host and path that its caller named, and its body.
 ///
 /// The service isn't part of it: a route may lead elsewhere from one attempt to the next, and the request goes along.
-pub(super) fn fingerprint(whole: &BufferedRequest) -> Fingerprint {
-    Fingerprint::of(head(whole), &whole.body)
+pub(super) fn of(request: &BufferedRequest) -> Fingerprint {
+    Fingerprint::of(head(request), &request.body)
 }
 
 /// The same, if it may be one of `suspects`. A body is digested for those alone.
-pub(super) fn fingerprint_among(
-    suspects: &Suspects,
-    whole: &BufferedRequest,
-) -> Option<Fingerprint> {
+pub(super) fn of_suspect(suspects: &Suspects, request: &BufferedRequest) -> Option<Fingerprint> {
     if suspects.is_empty() {
         return None;
     }
-    let head = head(whole);
-    suspects.contains_prefix(head).then(|| Fingerprint::of(head, &whole.body))
+    let head = head(request);
+    suspects.contains_prefix(head).then(|| Fingerprint::of(head, &request.body))
 }
 
 /// What the head of a request says.
-pub(super) fn head(whole: &BufferedRequest) -> Head {
-    let path = whole.target.path().as_bytes();
-    let query = whole.target.query().unwrap_or_default().as_bytes();
-    let host = whole.headers.get(header::HOST).map_or(&[][..], |host| host.as_bytes());
-    Head::of(&[whole.method.as_str().as_bytes(), host, path, query])
+pub(super) fn head(request: &BufferedRequest) -> Head {
+    let path = request.target.path().as_bytes();
+    let query = request.target.query().unwrap_or_default().as_bytes();
+    let host = request.headers.get(header::HOST).map_or(&[][..], |host| host.as_bytes());
+    Head::of(&[request.method.as_str().as_bytes(), host, path, query])
 }
--- a/crates/jacinthbeam-host/src/request/job.rs
+++ b/crates/jacinthbeam-host/src/request/job.rs
@@ -13,8 +13,8 @@
 use tokio::task::spawn_local;
 
 use super::{
-    crash::Subject,
-    same,
+    crash::CrashTracker,
+    fingerprint,
     send::{self, BufferedRequest},
 };
 use crate::{
@@ -26,7 +26,7 @@
 /// Everything that is decided once for a request.
 pub(super) struct Job {
     pub(super) traffic: Rc<Traffic>,
-    pub(super) whole: BufferedRequest,
+    pub(super) request: BufferedRequest,
     /// Where it came from.
     pub(super) caller: IpAddr,
     pub(super) route: Arc<Route>,
@@ -44,9 +44,9 @@
 }
 
 impl Job {
-    pub(super) fn tell(&self, view: &View, server: &Server, number: u32, sent: &SendOutcome) {
+    pub(super) fn log_send(&self, view: &View, server: &Server, number: u32, sent: &SendOutcome) {
         let send = stories::Send {
-            id: &self.whole.id,
+            id: &self.request.id,
             route: &self.route.name,
             service: &self.service,
             key: self.key.filter(|_| self.keyed),
@@ -55,13 +55,13 @@
             received: self.received,
             caller: self.caller,
         };
-        let same = || same::fingerprint(&self.whole);
+        let same = || fingerprint::of(&self.request);
         self.traffic.stories.on_sent(self.traffic.now(), &send, view, sent, same);
     }
 
     /// The request as far as servers may end under it.
-    pub(super) fn subject(&self) -> Subject<'_> {
-        Subject { traffic: &self.traffic, whole: &self.whole, caller: self.caller }
+    pub(super) fn crash_tracker(&self) -> CrashTracker<'_> {
+        CrashTracker { traffic: &self.traffic, request: &self.request, caller: self.caller }
     }
 
     /// Takes note of what a send says of its server. Returns whether the server is known to have ended under the request; that is
@@ -71,10 +71,10 @@
         view: &Arc<View>,
         server: &Server,
         sent: &SendOutcome,
-        may_repeat: bool,
+        may_retry: bool,
     ) -> bool {
-        let most = self.traffic.most_connections(self.connections, view.hosts);
-        self.subject().on_sent(server, most, sent, may_repeat).await
+        let max_connections = self.traffic.most_connections(self.connections, view.hosts);
+        self.crash_tracker().on_sent(server, max_connections, sent, may_retry).await
     }
 
     /// Whether the request may be sent to the region of a server.
@@ -83,7 +83,7 @@
     }
 
     /// Whether the owner of its key is where the request must not go, so that waiting for it is of no use.
-    pub(super) fn is_abroad(&self, view: &View) -> bool {
+    pub(super) fn is_owner_outside_home_regions(&self, view: &View) -> bool {
         let owner = self.key.and_then(|key| view.maps.get(&self.service)?.of(key).owner.as_ref());
         let server = owner.and_then(|owner| view.servers.get(&owner.server));
         server.is_some_and(|server| !self.is_home(server))
@@ -111,13 +111,13 @@
 
 /// Sends the request to one server. One that must not run twice goes on if its caller leaves, since cancelling it would leave
 /// nobody knowing whether it ran; any other is cancelled with the caller.
-pub(super) async fn offer(job: &Rc<Job>, view: &View, server: &Server) -> SendOutcome {
-    let most = job.traffic.most_connections(job.connections, view.hosts);
+pub(super) async fn send_to(job: &Rc<Job>, view: &View, server: &Server) -> SendOutcome {
+    let max_connections = job.traffic.most_connections(job.connections, view.hosts);
     let sent = if job.idempotent {
-        send_counted(job, server, most).await
+        send_metered(job, server, max_connections).await
     } else {
         let (job, server) = (job.clone(), server.clone());
-        let task = spawn_local(async move { send_counted(&job, &server, most).await });
+        let task = spawn_local(async move { send_metered(&job, &server, max_connections).await });
         task.await.unwrap_or(SendOutcome::Lost(Lost::Broken))
     };
     if let (SendOutcome::Answered { .. }, true) = (&sent, job.keyed) {
@@ -126,26 +126,26 @@
     sent
 }
 
-async fn send_counted(job: &Job, server: &Server, most_connections: u32) -> SendOutcome {
+async fn send_metered(job: &Job, server: &Server, max_connections: u32) -> SendOutcome {
     job.usage.begin();
-    let mut at = AtServer { job, server, is_over: false };
-    let sent = send::send(&job.traffic, &job.whole, server, most_connections, job.deadline).await;
-    at.is_over = true;
+    let mut guard = AbandonGuard { job, server, is_finished: false };
+    let sent = send::send(&job.traffic, &job.request, server, max_connections, job.deadline).await;
+    guard.is_finished = true;
     job.usage.end(&sent);
     sent
 }
 
 /// A request at a server. Dropped before it is over, its caller has left.
-struct AtServer<'a> {
+struct AbandonGuard<'a> {
     job: &'a Job,
     server: &'a Server,
-    is_over: bool,
+    is_finished: bool,
 }
 
-impl Drop for AtServer<'_> {
+impl Drop for AbandonGuard<'_> {
     fn drop(&mut self) {
-        if !self.is_over {
-            self.job.subject().on_left(self.server);
+        if !self.is_finished {
+            self.job.crash_tracker().on_caller_disconnect(self.server);
         }
     }
 }
--- a/crates/jacinthbeam-host/src/request/mod.rs
+++ b/crates/jacinthbeam-host/src/request/mod.rs
@@ -4,10 +4,10 @@
 mod body;
 mod crash;
 mod end;
+mod fingerprint;
 mod job;
 mod pick;
 mod refuse;
-mod same;
 pub mod send;
 pub mod serve;
 
--- a/crates/jacinthbeam-host/src/request/pick.rs
+++ b/crates/jacinthbeam-host/src/request/pick.rs
@@ -21,22 +21,22 @@
 /// Of the time in which a server that is leaving may still get requests, this much is kept for the way of a request to it: a new
 /// connection whose first packet is lost takes 200 ms, and a host whose share of the processor is used up waits for 100 ms. For the rest
 /// the server keeps getting requests for keys that have not moved yet.
-const ON_THE_WAY: Duration = Duration::from_millis(300);
+const TRANSIT_MARGIN: Duration = Duration::from_millis(300);
 
 /// The server to send a request to, other than those that were `tried`; `None` if no server may get it now.
-pub(super) fn find_server(job: &Job, view: &View, tried: &[ServerId]) -> Option<Server> {
+pub(super) fn pick_server(job: &Job, view: &View, tried: &[ServerId]) -> Option<Server> {
     let now = job.traffic.now();
     let settings = &job.traffic.settings;
     let grace = Grace {
-        drained: settings.drain_within.saturating_sub(ON_THE_WAY),
-        evacuated: settings.evacuate_within.saturating_sub(ON_THE_WAY),
+        drained: settings.drain_within.saturating_sub(TRANSIT_MARGIN),
+        evacuated: settings.evacuate_within.saturating_sub(TRANSIT_MARGIN),
     };
     if job.traffic.is_stalled(grace.drained) {
         return None;
     }
     let server = match job.keyed {
         true => owner(job, view, grace, now)?,
-        false => least_loaded(job, view, tried, now)?,
+        false => pick_fastest(job, view, tried, now)?,
     };
     if view.cold_server(&server.id, now).is_some() {
         let state = job.traffic.server(&server);
@@ -54,26 +54,28 @@
     let may = !state.ended.get()
         && job.is_home(server)
         && view.may_send(&server.id, now, grace)
-        && may_warm_up(view, server, &state, now);
+        && slow_start_allows(view, server, &state, now);
     may.then(|| server.clone())
 }
 
 /// Of the servers that may get the request, the one that is expected to answer first.
-fn least_loaded(job: &Job, view: &View, tried: &[ServerId], now: Instant) -> Option<Server> {
+fn pick_fastest(job: &Job, view: &View, tried: &[ServerId], now: Instant) -> Option<Server> {
     let domain = &job.traffic.settings.domain;
-    let states = familiarity(view, &job.service, domain)
+    let states = with_subset_flag(view, &job.service, domain)
         .into_iter()
         .filter(|(server, _)| !tried.contains(&server.id) && job.is_home(server))
-        .map(|(server, familiar)| (server, familiar, job.traffic.server(server)))
-        .filter(|(server, _, state)| !state.ended.get() && may_warm_up(view, server, state, now));
+        .map(|(server, in_subset)| (server, in_subset, job.traffic.server(server)))
+        .filter(|(server, _, state)| {
+            !state.ended.get() && slow_start_allows(view, server, state, now)
+        });
     let states: Vec<(&Server, bool, Rc<ServerState>)> = states.collect();
     let seen: Vec<_> = states.iter().map(|(_, _, state)| state.stats.borrow()).collect();
-    let candidates = states.iter().zip(&seen).map(|((server, familiar, _), seen)| Candidate {
+    let candidates = states.iter().zip(&seen).map(|((server, in_subset, _), seen)| Candidate {
         id: *server,
         stats: seen,
         slots: server.slots,
         near: server.domain == *domain,
-        in_subset: *familiar,
+        in_subset: *in_subset,
         cold: server.is_cold(),
     });
     choose::best(candidates, now, fastrand::f64).map(|server| (*server).clone())
@@ -81,7 +83,7 @@
 
 /// The servers of a service that take work, and whether this host asks each of them first: some of its own failure domain, or of all if
 /// there are none.
-fn familiarity<'a>(
+fn with_subset_flag<'a>(
     view: &'a View,
     service: &'a ServiceName,
     domain: &FailureDomain,
@@ -90,17 +92,17 @@
     let near = servers.iter().filter(|server| server.domain == *domain).count();
     let count = if near == 0 { servers.len() } else { near };
     let mut at = 0;
-    let familiar = |server: &'a Server| {
+    let in_subset = |server: &'a Server| {
         let counts = near == 0 || server.domain == *domain;
-        let familiar = counts && is_in_subset(at, count, view.subset_position);
+        let in_subset = counts && is_in_subset(at, count, view.subset_position);
         at += usize::from(counts);
-        (server, familiar)
+        (server, in_subset)
     };
-    servers.into_iter().map(familiar).collect()
+    servers.into_iter().map(in_subset).collect()
 }
 
 /// Whether a server is warm, or may get a request of this host now while it is cold.
-fn may_warm_up(view: &View, server: &Server, state: &ServerState, now: Instant) -> bool {
+fn slow_start_allows(view: &View, server: &Server, state: &ServerState, now: Instant) -> bool {
     let Some(cold) = view.cold_server(&server.id, now) else { return true };
     cold.spacing.is_some_and(|spacing| state.pacer.get().may_send(now, spacing))
 }
--- a/crates/jacinthbeam-host/src/request/refuse.rs
+++ b/crates/jacinthbeam-host/src/request/refuse.rs
@@ -14,13 +14,13 @@
 };
 
 /// Hint for a caller whose key has no owner.
-pub(super) const OWNER_IN: Duration = Duration::from_millis(500);
+pub(super) const OWNER_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// Hint from a host that has no configuration yet: the time of a read from the store.
-pub(super) const CONFIG_IN: Duration = Duration::from_millis(500);
+pub(super) const CONFIG_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// The head of a request can't be used.
-pub(super) fn bad(traffic: &Traffic, why: &str) -> Response<Full<Bytes>> {
+pub(super) fn bad_request(traffic: &Traffic, why: &str) -> Response<Full<Bytes>> {
     tracing::info!(part = "request", outcome = "bad-request", why = ?why);
     traffic.counters.bad_requests.add(1, &[]);
     let refusal = Refusal::not_run(Reason::BadRequest);
@@ -64,16 +64,16 @@
 
 /// What is said of a request that surely did not run.
 ///
-/// `room_in` is the time after which there should be room for it.
-pub(super) fn not_run(why: NotRun, room_in: Duration) -> Refusal {
+/// `overload_delay` is the time after which there should be room for it.
+pub(super) fn not_run(why: NotRun, overload_delay: Duration) -> Refusal {
     match why {
         NotRun::Full | NotRun::NoConnection => {
-            Refusal::not_run(Reason::Overloaded).retry_after(room_in)
+            Refusal::not_run(Reason::Overloaded).retry_after(overload_delay)
         }
-        NotRun::NotOwner => Refusal::not_run(Reason::Moving).retry_after(OWNER_IN),
+        NotRun::NotOwner => Refusal::not_run(Reason::Moving).retry_after(OWNER_RETRY_DELAY),
         NotRun::OtherServer | NotRun::NotListening | NotRun::Unreachable => {
-            Refusal::not_run(Reason::Unreachable).retry_after(OWNER_IN)
+            Refusal::not_run(Reason::Unreachable).retry_after(OWNER_RETRY_DELAY)
         }
-        NotRun::Refused => Refusal::not_run(Reason::RefusedByServer).retry_after(room_in),
+        NotRun::Refused => Refusal::not_run(Reason::RefusedByServer).retry_after(overload_delay),
     }
 }
--- a/crates/jacinthbeam-host/src/request/send.rs
+++ b/crates/jacinthbeam-host/src/request/send.rs
@@ -38,25 +38,25 @@
 
 /// Longest answer that is held. It is read whole before the caller gets any of it, so that one that breaks off can't look
 /// complete and can be asked for again.
-const MOST_ANSWER: usize = 16 << 20;
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
 /// How long hyper may take to see that an exchange is over; it takes one turn of the connection's task.
-const READY_WITHIN: Duration = Duration::from_millis(5);
+const READY_TIMEOUT: Duration = Duration::from_millis(5);
 
 /// How much longer than the time given to the server its own word of the deadline is waited for.
-const LAST_WORD: Duration = Duration::from_millis(60);
+const RESPONSE_GRACE: Duration = Duration::from_millis(60);
 
 /// Counts a request at a server for as long as it is there.
-struct InFlight(Rc<ServerState>, Instant);
+struct InFlightGuard(Rc<ServerState>, Instant);
 
-impl InFlight {
+impl InFlightGuard {
     fn new(state: Rc<ServerState>, begun: Instant) -> Self {
         state.stats.borrow_mut().begin(begun);
         Self(state, begun)
     }
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.stats.borrow_mut().end(self.1);
     }
@@ -65,23 +65,23 @@
 /// Sends a request and waits for the whole answer until `deadline`. Dropping the future cancels the request at the server.
 pub async fn send(
     traffic: &Traffic,
-    whole: &BufferedRequest,
+    request: &BufferedRequest,
     server: &Server,
-    most_connections: u32,
+    max_connections: u32,
     deadline: Instant,
 ) -> SendOutcome {
     let state = traffic.server(server);
     let begun = traffic.now();
-    let _in_flight = InFlight::new(state.clone(), begun);
-    let sent = match exchange(traffic, whole, server, &state, most_connections, deadline).await {
+    let _in_flight = InFlightGuard::new(state.clone(), begun);
+    let sent = match exchange(traffic, request, server, &state, max_connections, deadline).await {
         Ok(sent) => sent,
         Err(not_run) => SendOutcome::NotRun(not_run),
     };
-    observe(traffic, &state, &sent, begun);
+    record_outcome(traffic, &state, &sent, begun);
     sent
 }
 
-fn observe(traffic: &Traffic, state: &ServerState, sent: &SendOutcome, begun: Instant) {
+fn record_outcome(traffic: &Traffic, state: &ServerState, sent: &SendOutcome, begun: Instant) {
     let now = traffic.now();
     let mut seen = state.stats.borrow_mut();
     match sent {
@@ -103,27 +103,31 @@
 
 async fn exchange(
     traffic: &Traffic,
-    whole: &BufferedRequest,
+    request: &BufferedRequest,
     server: &Server,
     state: &ServerState,
-    most: u32,
+    max_connections: u32,
     deadline: Instant,
 ) -> Result<SendOutcome, NotRun> {
-    let mut conn = map_pool_error(state.pool.acquire(traffic.now(), most).await)?;
+    let mut conn = map_pool_error(state.pool.acquire(traffic.now(), max_connections).await)?;
     loop {
         let left = deadline.saturating_duration_since(traffic.now());
-        let by = TimerInstant::now() + left + LAST_WORD;
-        let req = prepare(traffic, whole, server, left);
+        let by = TimerInstant::now() + left + RESPONSE_GRACE;
+        let req = prepare(traffic, request, server, left);
         let sent = tokio::time::timeout_at(by, conn.inner.sender.try_send_request(req)).await;
         match sent {
             Err(_) => return Ok(SendOutcome::Lost(Lost::Late)),
-            Ok(Ok(res)) => return Ok(take(traffic, whole, &server.id, state, conn, res, by).await),
+            Ok(Ok(res)) => {
+                return Ok(read_response(traffic, request, &server.id, state, conn, res, by).await);
+            }
             Ok(Err(mut err)) => match (err.take_message(), conn.reused) {
                 // hyper gives a request back only if nothing of it was written.
-                (Some(_), true) => conn = map_pool_error(state.pool.connect(most).await)?,
+                (Some(_), true) => {
+                    conn = map_pool_error(state.pool.connect(max_connections).await)?
+                }
                 (Some(_), false) => return Err(NotRun::Unreachable),
                 (None, _) => {
-                    let (id, err) = (&whole.id, err.into_error());
+                    let (id, err) = (&request.id, err.into_error());
                     tracing::debug!(part = "request", id = ?id, event = "connection-ended", error = ?err);
                     return Ok(SendOutcome::Lost(Lost::Broken));
                 }
@@ -144,79 +148,79 @@
 
 fn prepare(
     traffic: &Traffic,
-    whole: &BufferedRequest,
+    request: &BufferedRequest,
     server: &Server,
     left: Duration,
 ) -> Request<pool::Body> {
-    let mut req = Request::new(pool::body(whole.body.clone()));
-    *req.method_mut() = whole.method.clone();
-    *req.uri_mut() = whole.target.clone();
-    *req.headers_mut() = whole.headers.clone();
+    let mut req = Request::new(pool::body(request.body.clone()));
+    *req.method_mut() = request.method.clone();
+    *req.uri_mut() = request.target.clone();
+    *req.headers_mut() = request.headers.clone();
     (traffic.wire.set_forward_headers)(
         req.headers_mut(),
-        &Forward { id: &whole.id, left, server: &server.id },
+        &Forward { id: &request.id, left, server: &server.id },
     );
     req
 }
 
-async fn take(
+async fn read_response(
     traffic: &Traffic,
-    whole: &BufferedRequest,
+    request: &BufferedRequest,
     server: &ServerId,
     state: &ServerState,
     conn: PooledConnection,
     res: Response<Incoming>,
     by: TimerInstant,
 ) -> SendOutcome {
-    let told = (traffic.wire.classify_response)(res.status(), res.headers(), &whole.id, server);
-    if told == ResponseKind::Foreign {
-        let (id, status) = (&whole.id, res.status());
+    let kind = (traffic.wire.classify_response)(res.status(), res.headers(), &request.id, server);
+    if kind == ResponseKind::Foreign {
+        let (id, status) = (&request.id, res.status());
         tracing::info!(part = "request", id = ?id, event = "foreign-answer", status = %status);
         return SendOutcome::Lost(Lost::Broken);
     }
     let keep_alive = keep_alive(res.headers());
-    let last = says_close(res.headers());
+    let last = closes_connection(res.headers());
     let (mut head, body) = res.into_parts();
-    let read = tokio::time::timeout_at(by, Limited::new(body, MOST_ANSWER).collect()).await;
+    let read = tokio::time::timeout_at(by, Limited::new(body, MAX_RESPONSE_BYTES).collect()).await;
     let bytes = match read {
-        Ok(Ok(whole)) => whole.to_bytes(),
+        Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(err)) => {
-            tracing::info!(part = "request", id = ?whole.id, event = "answer-cut", error = ?err);
-            return refusal(told).unwrap_or(SendOutcome::Lost(Lost::Broken));
+            tracing::info!(part = "request", id = ?request.id, event = "answer-cut", error = ?err);
+            return not_run_outcome(kind).unwrap_or(SendOutcome::Lost(Lost::Broken));
         }
-        Err(_) => return refusal(told).unwrap_or(SendOutcome::Lost(Lost::Late)),
+        Err(_) => return not_run_outcome(kind).unwrap_or(SendOutcome::Lost(Lost::Late)),
     };
     if !last {
-        keep(traffic, state, conn, keep_alive).await;
+        return_connection(traffic, state, conn, keep_alive).await;
     }
-    if let Some(refused) = refusal(told) {
+    if let Some(refused) = not_run_outcome(kind) {
         return refused;
     }
     strip(&mut head.headers, &[]);
     // hyper writes the length of the body that it is given.
     head.headers.remove(header::CONTENT_LENGTH);
-    let good = told == ResponseKind::Answer { success: true };
+    let good = kind == ResponseKind::Answer { success: true };
     SendOutcome::Answered { res: Response::from_parts(head, Full::new(bytes)), success: good }
 }
 
 /// Keeps a connection whose answer was read whole, if the request was written whole too and nothing more has come.
 ///
 /// A server may answer before it has read a long body. What it reads next must be the rest of that body, not another request.
-async fn keep(
+async fn return_connection(
     traffic: &Traffic,
     state: &ServerState,
     mut conn: PooledConnection,
     bound: Option<Duration>,
 ) {
-    let ready = tokio::time::timeout(READY_WITHIN, conn.inner.sender.ready()).await;
+    let ready = tokio::time::timeout(READY_TIMEOUT, conn.inner.sender.ready()).await;
     if matches!(ready, Ok(Ok(()))) && conn.inner.is_quiet() {
         state.pool.release(conn, traffic.now(), bound);
     }
 }
 
 /// What an answer says whose body is of no interest.
-fn refusal(told: ResponseKind) -> Option<SendOutcome> {
-    let not_run = match told {
+fn not_run_outcome(kind: ResponseKind) -> Option<SendOutcome> {
+    let not_run = match kind {
         ResponseKind::Full => NotRun::Full,
         ResponseKind::NotOwner => NotRun::NotOwner,
         ResponseKind::OtherServer => NotRun::OtherServer,
@@ -226,7 +230,7 @@
     Some(SendOutcome::NotRun(not_run))
 }
 
-fn says_close(headers: &HeaderMap) -> bool {
+fn closes_connection(headers: &HeaderMap) -> bool {
     let values = headers.get_all(header::CONNECTION);
     let mut names =
         values.iter().filter_map(|value| value.to_str().ok()).flat_map(|v| v.split(','));
--- a/crates/jacinthbeam-host/src/request/serve.rs
+++ b/crates/jacinthbeam-host/src/request/serve.rs
@@ -18,10 +18,10 @@
 
 use super::{
     body,
-    end::{give_up, refuse_for_crashes},
-    job::{Job, offer},
-    pick::find_server,
-    refuse::{CONFIG_IN, bad, bad_body, refuse},
+    end::{finish, refuse_for_crashes},
+    job::{Job, send_to},
+    pick::pick_server,
+    refuse::{CONFIG_RETRY_DELAY, bad_body, bad_request, refuse},
     send::BufferedRequest,
 };
 use crate::{
@@ -34,17 +34,17 @@
 
 /// Part of the objective that a request waits for a key whose owner has just given it back: a planned move takes as long as
 /// the requests that run on its keys, mostly below this, and leaves time for the request itself.
-const AWAIT_MOVE: f64 = 0.4;
+const MOVE_WAIT_SHARE: f64 = 0.4;
 
 /// Part of the objective that a request waits for a key without an owner that could be asked. A map that is on its way comes
 /// in milliseconds. An owner that is lost is away for seconds, and its callers are told so.
-const AWAIT_OWNER: f64 = 0.12;
+const OWNER_WAIT_SHARE: f64 = 0.12;
 
 /// Headers of a request that stay whatever `connection` names.
-const KEPT: [HeaderName; 2] = [header::CONTENT_LENGTH, header::HOST];
+const KEPT_HEADERS: [HeaderName; 2] = [header::CONTENT_LENGTH, header::HOST];
 
 /// Most sends of one request, refused ones included.
-const MOST_SENDS: u32 = 3;
+const MAX_SENDS: u32 = 3;
 
 /// Stands for the caller of a request that came over no connection of [`crate::connection::accept`].
 const UNKNOWN_CALLER: IpAddr = IpAddr::V4(Ipv4Addr::UNSPECIFIED);
@@ -56,27 +56,27 @@
     let view = traffic.view();
     let caller = match (traffic.wire.parse_caller_headers)(&parts) {
         Ok(caller) => caller,
-        Err(HeaderError::NoId) => return bad(&traffic, "the request has no id"),
+        Err(HeaderError::NoId) => return bad_request(&traffic, "the request has no id"),
         Err(HeaderError::Header(name)) => {
-            return bad(&traffic, &format!("header {name} can't be read"));
+            return bad_request(&traffic, &format!("header {name} can't be read"));
         }
     };
     let Some(cfg) = view.config.clone() else {
-        let refusal = Refusal::not_run(Reason::NoConfiguration).retry_after(CONFIG_IN);
+        let refusal = Refusal::not_run(Reason::NoConfiguration).retry_after(CONFIG_RETRY_DELAY);
         return refuse(&traffic, &caller.id, "-", &refusal, received, Basis::default);
     };
     let Some(route) = find_route(&cfg, &parts) else {
         let refusal = match traffic.config_may_be_old() {
-            true => Refusal::not_run(Reason::OldConfiguration).retry_after(CONFIG_IN),
+            true => Refusal::not_run(Reason::OldConfiguration).retry_after(CONFIG_RETRY_DELAY),
             false => Refusal::not_run(Reason::UnknownService),
         };
         return refuse(&traffic, &caller.id, "-", &refusal, received, Basis::default);
     };
-    let patience = caller.timeout.unwrap_or(route.timeout).min(route.timeout);
-    let deadline = received + patience;
+    let timeout = caller.timeout.unwrap_or(route.timeout).min(route.timeout);
+    let deadline = received + timeout;
     let reading = body::read(incoming, cfg.limits.body, &traffic.body_bytes);
-    let read = tokio::time::timeout(patience, reading).await.unwrap_or(Err(body::Error::Silent));
-    let (body, _held) = match read {
+    let read = tokio::time::timeout(timeout, reading).await.unwrap_or(Err(body::Error::Silent));
+    let (body, _reservation) = match read {
         Ok(read) => read,
         Err(err) => return bad_body(&traffic, &caller.id, err),
     };
@@ -85,14 +85,14 @@
         return refuse(&traffic, &caller.id, &route.name, &refusal, received, Basis::default);
     };
     if service.keyed && caller.key.is_none() {
-        return bad(&traffic, "the service is divided by key and the request names none");
+        return bad_request(&traffic, "the service is divided by key and the request names none");
     }
     traffic.on_request(&name, view.hosts);
     let mut kept = parts.headers;
-    strip(&mut kept, &KEPT);
+    strip(&mut kept, &KEPT_HEADERS);
     kept.remove(header::CONTENT_LENGTH);
     let target = parts.uri.path_and_query().cloned().map(http::Uri::from).unwrap_or_default();
-    let whole = BufferedRequest {
+    let request = BufferedRequest {
         method: parts.method,
         target,
         headers: kept,
@@ -102,7 +102,7 @@
     let usage = Use::new(&traffic.usage, service.team.as_ref(), &name);
     let job = Job {
         traffic: traffic.clone(),
-        whole,
+        request,
         caller: parts.extensions.get().map_or(UNKNOWN_CALLER, |CallerAddr(addr)| *addr),
         service: name,
         connections: service.connections,
@@ -115,16 +115,16 @@
         route,
     };
     if let Some(key) = job.key.filter(|_| job.keyed)
-        && !is_let_in(&job, &view, key)
+        && !is_admitted(&job, &view, key)
     {
-        return give_up(&job, Some(SendOutcome::NotRun(NotRun::Full)), &[]);
+        return finish(&job, Some(SendOutcome::NotRun(NotRun::Full)), &[]);
     }
     run(job).await
 }
 
 /// Counts a request for a key, and asks whether its owner may be sent it. One that is asked for more than it can do would
 /// answer this request too late, and the ones after it.
-fn is_let_in(job: &Job, view: &View, key: Key) -> bool {
+fn is_admitted(job: &Job, view: &View, key: Key) -> bool {
     let owner = view.maps.get(&job.service).and_then(|map| map.of(key).owner.clone());
     let owner = owner.map(|owner| owner.server);
     let rank = job.route.priority;
@@ -150,60 +150,60 @@
     let mut sends = 0;
     let mut tried = Vec::new();
     let mut last = None;
-    let mut ended = BTreeSet::new();
+    let mut crashed = BTreeSet::new();
     loop {
         let view = job.traffic.view();
         // It may have waited, and its repeat may come, after others have shown what it does.
-        if let Some(quarantine) = job.subject().refused(&view) {
+        if let Some(quarantine) = job.crash_tracker().quarantine(&view) {
             return match last {
                 None | Some(SendOutcome::NotRun(_)) => refuse_for_crashes(&job, quarantine),
-                last => give_up(&job, last, &tried),
+                last => finish(&job, last, &tried),
             };
         }
-        let server = match find_server(&job, &view, &tried) {
+        let server = match pick_server(&job, &view, &tried) {
             Some(server) => server,
             None if sends == 0
                 && job.keyed
-                && !job.is_abroad(&view)
-                && job.may_wait(AWAIT_OWNER) =>
+                && !job.is_owner_outside_home_regions(&view)
+                && job.may_wait(OWNER_WAIT_SHARE) =>
             {
                 let begun = job.traffic.now();
-                job.traffic.view_changed(job.wait_left(AWAIT_OWNER)).await;
+                job.traffic.view_changed(job.wait_left(OWNER_WAIT_SHARE)).await;
                 job.traffic.counters.on_wait(job.traffic.now().saturating_duration_since(begun));
                 continue;
             }
-            None => return give_up(&job, last, &tried),
+            None => return finish(&job, last, &tried),
         };
         if sends > 0 && !job.traffic.may_repeat(&job.service, view.hosts) {
-            return give_up(&job, last, &tried);
+            return finish(&job, last, &tried);
         }
         sends += 1;
-        let sent = offer(&job, &view, &server).await;
+        let sent = send_to(&job, &view, &server).await;
         job.traffic.counters.on_sent(&sent);
-        job.tell(&view, &server, sends, &sent);
-        let again = match &sent {
+        job.log_send(&view, &server, sends, &sent);
+        let retry = match &sent {
             SendOutcome::Answered { success: true, .. } => false,
             SendOutcome::Answered { success: false, .. } => job.may_run_again(sends) && !job.keyed,
             // The same server would refuse it again, and each arrival counts against the budget of all hosts.
             SendOutcome::NotRun(NotRun::NotOwner) if job.keyed => {
-                sends < MOST_SENDS && await_other_owner(&job, &view).await
+                sends < MAX_SENDS && wait_for_ownership_change(&job, &view).await
             }
             SendOutcome::NotRun(
                 NotRun::OtherServer | NotRun::NotListening | NotRun::Unreachable,
             ) if job.keyed => false,
-            SendOutcome::NotRun(NotRun::Full) => !job.keyed && sends < MOST_SENDS,
-            SendOutcome::NotRun(_) => sends < MOST_SENDS,
+            SendOutcome::NotRun(NotRun::Full) => !job.keyed && sends < MAX_SENDS,
+            SendOutcome::NotRun(_) => sends < MAX_SENDS,
             SendOutcome::Lost(Lost::Late) => false,
             SendOutcome::Lost(Lost::Broken) => job.may_run_again(sends),
         };
-        let has_ended = job.on_sent(&view, &server, &sent, again).await;
-        if has_ended {
-            ended.insert(server.id.clone());
+        let has_crashed = job.on_sent(&view, &server, &sent, retry).await;
+        if has_crashed {
+            crashed.insert(server.id.clone());
         }
-        let again = again && job.subject().may_repeat(&job.traffic.view(), &ended);
-        last = Some(worse(last, sent));
-        if !again || job.left().is_zero() {
-            return give_up(&job, last, &tried);
+        let retry = retry && job.crash_tracker().may_retry(&job.traffic.view(), &crashed);
+        last = Some(more_severe(last, sent));
+        if !retry || job.left().is_zero() {
+            return finish(&job, last, &tried);
         }
         if !job.keyed {
             tried.push(server.id);
@@ -212,7 +212,7 @@
 }
 
 /// Of two outcomes, the one that the caller has to be told: what may have run outweighs what surely did not.
-fn worse(earlier: Option<SendOutcome>, later: SendOutcome) -> SendOutcome {
+fn more_severe(earlier: Option<SendOutcome>, later: SendOutcome) -> SendOutcome {
     match (earlier, later) {
         (
             Some(earlier @ (SendOutcome::Answered { .. } | SendOutcome::Lost(_))),
@@ -224,15 +224,15 @@
 }
 
 /// Waits until the key has another owner or token than in `view`. Returns whether it has.
-async fn await_other_owner(job: &Job, view: &View) -> bool {
+async fn wait_for_ownership_change(job: &Job, view: &View) -> bool {
     let of = |view: &View| {
         let held = view.maps.get(&job.service)?.of(job.key?);
         Some((held.owner.clone(), held.token))
     };
     let before = of(view);
     let begun = job.traffic.now();
-    while job.may_wait(AWAIT_MOVE) && of(&job.traffic.view()) == before {
-        job.traffic.view_changed(job.wait_left(AWAIT_MOVE)).await;
+    while job.may_wait(MOVE_WAIT_SHARE) && of(&job.traffic.view()) == before {
+        job.traffic.view_changed(job.wait_left(MOVE_WAIT_SHARE)).await;
     }
     job.traffic.counters.on_wait(job.traffic.now().saturating_duration_since(begun));
     of(&job.traffic.view()) != before
