--- a/crates/jacinthbeam-dispatch/src/choose.rs
+++ b/crates/jacinthbeam-dispatch/src/choose.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use crate::Seen;
+use crate::ServerStats;
 
 /// A server that could take the request.
 #[derive(Debug)]
@@ -10,13 +10,13 @@
     /// Who it is.
     pub id: &'a Id,
     /// What was seen of it.
-    pub seen: &'a Seen,
+    pub stats: &'a ServerStats,
     /// Requests that it works on at a time.
     pub slots: u32,
     /// Whether it runs in this host's failure domain.
     pub near: bool,
     /// Whether it is one of those that this host asks first.
-    pub familiar: bool,
+    pub in_subset: bool,
     /// Whether it has just started and is slow for a while.
     pub cold: bool,
 }
@@ -57,10 +57,10 @@
 }
 
 fn cost<Id>(candidate: &Candidate<'_, Id>, now: Instant) -> Duration {
-    let seen = candidate.seen;
-    let looks = candidate.near && candidate.familiar;
+    let seen = candidate.stats;
+    let looks = candidate.near && candidate.in_subset;
     let mut cost = seen.expected(now, candidate.slots, looks);
-    if !candidate.familiar {
+    if !candidate.in_subset {
         cost += UNFAMILIAR;
     }
     if candidate.cold {
--- a/crates/jacinthbeam-host/src/process/control/state.rs
+++ b/crates/jacinthbeam-host/src/process/control/state.rs
@@ -41,7 +41,7 @@
         traffic::Gates,
         usage,
     },
-    version::{ColdServer, KnownTo, View},
+    version::{ColdServer, Freshness, View},
 };
 
 /// A grantor and what goes with it.
@@ -63,7 +63,7 @@
     pub(super) me: Leader,
     pub(super) view: watch::Sender<Arc<View>>,
     /// How far the view reaches.
-    pub(super) known_to: watch::Sender<KnownTo>,
+    pub(super) freshness: watch::Sender<Freshness>,
     pub(super) gates: watch::Sender<Gates>,
     /// When gates were last told.
     pub(super) gated: Option<Instant>,
@@ -112,7 +112,7 @@
 
 impl Control {
     pub(super) fn new(start: Start, tx: Tx, socket: Rc<UdpSocket>) -> Self {
-        let Start { settings, wire, clock, counters, incarnation, view, known_to, gates, .. } =
+        let Start { settings, wire, clock, counters, incarnation, view, freshness, gates, .. } =
             start;
         let me = Leader { host: settings.host.clone(), incarnation, addr: settings.peers };
         let standby = Standby::new(clock.now());
@@ -126,7 +126,7 @@
             counters,
             me: me.clone(),
             view,
-            known_to,
+            freshness,
             gates,
             gated: None,
             noted: None,
@@ -156,16 +156,16 @@
 
     /// Starts to follow the store, or hosts that do.
     pub(super) fn begin(&mut self) {
-        let places = self.wire.places;
+        let store_layout = self.wire.store_layout;
         let gate = self.direct.subscribe();
         let once = Duration::ZERO;
-        self.follow((places.operator)(), OPERATOR_WAIT, once, gate.clone(), |read| {
+        self.follow((store_layout.operator)(), OPERATOR_WAIT, once, gate.clone(), |read| {
             Input::Operator(read.as_of(), read.changes)
         });
-        self.follow((places.servers)(), once, SERVERS_EVERY, gate.clone(), |read| {
+        self.follow((store_layout.servers)(), once, SERVERS_EVERY, gate.clone(), |read| {
             Input::Servers(read.asked, read.changes)
         });
-        let hosts = Partition { topic: places.hosts.into(), number: 0 };
+        let hosts = Partition { topic: store_layout.hosts.into(), number: 0 };
         self.follow(hosts.clone(), HOSTS_WAIT, HOSTS_EVERY, gate, |read| {
             Input::Hosts(read.changes)
         });
@@ -215,7 +215,7 @@
     pub(super) fn recorder(&self, counted: usage::Counted) -> usage::Recorder {
         usage::Recorder {
             lane: self.store.lane(),
-            to: Partition { topic: self.wire.places.usage.into(), number: 0 },
+            to: Partition { topic: self.wire.store_layout.usage.into(), number: 0 },
             key: format!("{}:{}", self.me.host, self.me.incarnation),
             counted,
             recorded: usage::Usage::default(),
--- a/crates/jacinthbeam-host/src/process/traffic.rs
+++ b/crates/jacinthbeam-host/src/process/traffic.rs
@@ -13,9 +13,9 @@
 use jacinthbeam_crash::{
     Fact, Fingerprint, Prober, RecentSuccesses, Suspects, fingerprint::HeadDigest, probe::Rank,
 };
-use jacinthbeam_dispatch::{Budget, Seen, slow_start::Pacer};
+use jacinthbeam_dispatch::{RetryBudget, ServerStats, slow_start::Pacer};
 use jacinthbeam_range::{Key, admission::Gate, demand::LoadReport};
-use jacinthbeam_route::{Route, Server, Target, route::Dealer};
+use jacinthbeam_route::{Route, Server, Target, route::WeightedRoundRobin};
 use jacinthbeam_types::prelude::*;
 use tokio::sync::{mpsc, watch};
 
@@ -23,7 +23,7 @@
     Settings, Wire,
     connection::{Pool, accept::Phase},
     process::{broken::Broken, metrics::Counters, stories::Stories, usage},
-    version::{KnownTo, View},
+    version::{Freshness, View},
 };
 
 /// Owners that may be sent a part of what is asked of them, and until when that stands.
@@ -47,13 +47,13 @@
     /// Bytes of request bodies that are held.
     pub body_bytes: Cell<usize>,
     view: watch::Receiver<Arc<View>>,
-    known_to: watch::Receiver<KnownTo>,
+    freshness: watch::Receiver<Freshness>,
     phase: watch::Receiver<Phase>,
     gates: watch::Receiver<Gates>,
     crashes: mpsc::UnboundedSender<Fact>,
     servers: RefCell<BTreeMap<ServerId, Rc<ServerState>>>,
-    budgets: RefCell<BTreeMap<ServiceName, Budget>>,
-    dealers: RefCell<BTreeMap<String, Dealer>>,
+    budgets: RefCell<BTreeMap<ServiceName, RetryBudget>>,
+    dealers: RefCell<BTreeMap<String, WeightedRoundRobin>>,
     reports: RefCell<BTreeMap<ServiceName, LoadReport>>,
     recent: RefCell<RecentSuccesses>,
     prober: RefCell<Prober>,
@@ -67,7 +67,7 @@
     /// Connections.
     pub pool: Pool,
     /// Observations.
-    pub seen: RefCell<Seen>,
+    pub stats: RefCell<ServerStats>,
     /// Another server has answered at the address, so that this one has ended.
     pub ended: Cell<bool>,
     /// Requests whose connections to it broke.
@@ -98,7 +98,7 @@
     /// What is known, as it changes.
     pub view: watch::Receiver<Arc<View>>,
     /// How far what is known reaches.
-    pub known_to: watch::Receiver<KnownTo>,
+    pub freshness: watch::Receiver<Freshness>,
     /// How far a stop has come.
     pub phase: watch::Receiver<Phase>,
     /// What busy owners may be sent, as it changes.
@@ -111,7 +111,7 @@
     /// State of a process that has served nothing yet.
     pub fn new(start: Start) -> Self {
         let Start { settings, wire, clock, counters, usage, .. } = start;
-        let Start { view, known_to, phase, gates, crashes, .. } = start;
+        let Start { view, freshness, phase, gates, crashes, .. } = start;
         Self {
             settings,
             wire,
@@ -121,7 +121,7 @@
             stories: Stories::default(),
             body_bytes: Cell::new(0),
             view,
-            known_to,
+            freshness,
             phase,
             gates,
             crashes,
@@ -151,19 +151,19 @@
     /// heard, that is false for a route that was just added, and the request is lost. Told to come back, the caller reaches another host
     /// or a newer configuration. Asked on this thread and by its own clock, so that it holds also while the other one is held up.
     pub fn config_may_be_old(&self) -> bool {
-        let as_of = self.known_to.borrow().config;
+        let as_of = self.freshness.borrow().config;
         let age = as_of.map(|at| self.now().saturating_duration_since(at));
         age.is_none_or(|age| age >= self.settings.config_within)
     }
 
     /// Whether servers may have left `drain_within` ago and this host has had no time to hear of it.
-    pub fn is_held_up(&self, drain_within: Duration) -> bool {
-        self.known_to.borrow().is_held_up(self.now(), drain_within)
+    pub fn is_stalled(&self, drain_within: Duration) -> bool {
+        self.freshness.borrow().is_stalled(self.now(), drain_within)
     }
 
     /// How old what is known of the servers is; `None` if nothing is known.
     pub fn servers_age(&self) -> Option<Duration> {
-        let as_of = self.known_to.borrow().servers;
+        let as_of = self.freshness.borrow().servers;
         as_of.map(|at| self.now().saturating_duration_since(at))
     }
 
@@ -184,10 +184,10 @@
     pub fn server(&self, server: &Server) -> Rc<ServerState> {
         let mut servers = self.servers.borrow_mut();
         let new = || {
-            let seen = RefCell::new(Seen::new(self.now()));
+            let stats = RefCell::new(ServerStats::new(self.now()));
             let (pool, ended) = (Pool::new(server.addr), Cell::default());
             let pacer = Cell::default();
-            Rc::new(ServerState { pool, seen, ended, broken: Broken::default(), pacer })
+            Rc::new(ServerState { pool, stats, ended, broken: Broken::default(), pacer })
         };
         servers.entry(server.id.clone()).or_insert_with(new).clone()
     }
@@ -240,7 +240,7 @@
             let owners = map.assignments().iter().filter_map(|held| held.owner.as_ref());
             for owner in owners {
                 let Some(state) = servers.get(&owner.server) else { continue };
-                let in_flight = state.seen.borrow().in_flight();
+                let in_flight = state.stats.borrow().in_flight();
                 if in_flight > 0 {
                     let report = reports.entry(service.clone()).or_default();
                     report.servers.entry(owner.server.clone()).or_default().in_flight = in_flight;
@@ -264,7 +264,7 @@
     /// Requests that this host has at a server.
     pub fn in_flight(&self, server: &ServerId) -> u32 {
         let servers = self.servers.borrow();
-        servers.get(server).map_or(0, |state| state.seen.borrow().in_flight())
+        servers.get(server).map_or(0, |state| state.stats.borrow().in_flight())
     }
 
     /// Whether one more repeat is within the budget; takes it if so.
@@ -281,10 +281,10 @@
         &self,
         service: &ServiceName,
         hosts: u32,
-        f: impl FnOnce(&mut Budget, Instant) -> R,
+        f: impl FnOnce(&mut RetryBudget, Instant) -> R,
     ) -> R {
         let mut budgets = self.budgets.borrow_mut();
-        let new = || Budget::new(self.settings.repeats, hosts, self.now());
+        let new = || RetryBudget::new(self.settings.repeats, hosts, self.now());
         let budget = budgets.entry(service.clone()).or_insert_with(new);
         budget.set_hosts(hosts);
         f(budget, self.now())
@@ -338,14 +338,14 @@
         servers.retain(|id, state| {
             state.pool.expire(now);
             let known = view.servers.get(id).is_some() || view.leaving.contains_key(id);
-            known || state.seen.borrow().in_flight() > 0
+            known || state.stats.borrow().in_flight() > 0
         });
     }
 
     /// What was seen of each server, for the dump.
-    pub fn seen(&self) -> Vec<(ServerId, Seen, u32)> {
+    pub fn seen(&self) -> Vec<(ServerId, ServerStats, u32)> {
         let servers = self.servers.borrow();
-        let seen = |state: &ServerState| (state.seen.borrow().clone(), state.pool.open_count());
+        let seen = |state: &ServerState| (state.stats.borrow().clone(), state.pool.open_count());
         servers
             .iter()
             .map(|(id, state)| {
