--- a/crates/jacinthbeam-host/src/process/control/crashes.rs
+++ b/crates/jacinthbeam-host/src/process/control/crashes.rs
@@ -77,7 +77,7 @@
     pub(super) fn question(&self, of: SocketAddr, topic: Topic) -> Asked {
         let now = self.clock.now();
         let mut asked = match topic {
-            Topic::All => self.known.question(feed::WAIT),
+            Topic::All => self.known.update_request(feed::WAIT),
             Topic::Crashes => Asked { only_crashes: true, wait: across::WAIT, ..Asked::default() },
         };
         let crashes = self.crashes.question(of, now);
@@ -93,7 +93,7 @@
         let now = self.clock.now();
         let news = match asked.only_crashes {
             true => News::default(),
-            false => self.known.news_for(asked, self.heard.age(now), now),
+            false => self.known.update_for(asked, self.heard.age(now), now),
         };
         let crashes = asked.crashes.as_ref().map(|question| self.crashes.answer(question, now));
         let (steps, asks_store) = (self.heard.steps(now), *self.direct.borrow());
--- a/crates/jacinthbeam-host/src/process/control/granting.rs
+++ b/crates/jacinthbeam-host/src/process/control/granting.rs
@@ -26,7 +26,7 @@
     maps::MapPartition,
     state::{Control, Granting},
 };
-use crate::process::{known::Changed, peers::load::Message};
+use crate::process::{peers::load::Message, replica::Changed};
 
 /// The list of backend servers counts as settled when it has not changed for this long: they all start within a second.
 const SETTLED_AFTER: Duration = Duration::from_millis(1500);
@@ -105,7 +105,7 @@
         let newer = partition.take(changes);
         let mut changed = Changed::default();
         for (service, map) in newer {
-            changed.maps |= self.known.take_map(service, map);
+            changed.maps |= self.known.apply_map(service, map);
         }
         self.on_changed(changed);
         self.read_all(number, asked);
@@ -146,7 +146,7 @@
                 self.step(service, Event::Recorded { asked });
                 let moved = self.known.map(service).map_or(0, |known| map.moved_since(known));
                 self.counters.on_moved(service, moved);
-                let maps = self.known.take_map(service.clone(), map);
+                let maps = self.known.apply_map(service.clone(), map);
                 self.on_changed(Changed { maps, ..Changed::default() });
             }
             Err(err) => {
--- a/crates/jacinthbeam-host/src/process/control/learn.rs
+++ b/crates/jacinthbeam-host/src/process/control/learn.rs
@@ -10,8 +10,8 @@
 use super::{ask::Topic, crashes::EVIDENCE_PREFIX, state::Control};
 use crate::{
     process::{
-        known::Changed,
         peers::{HostEntry, news::News, order::Neighbours},
+        replica::Changed,
     },
     version::{ColdServer, KnownTo, Leaving},
 };
@@ -26,7 +26,7 @@
             self.on_config(item);
         }
         self.on_evacuations(changes);
-        self.known.config_known_to(as_of.min(now));
+        self.known.mark_config_current(as_of.min(now));
         self.tell_known_to();
     }
 
@@ -42,7 +42,7 @@
                 Ok(domain) => {
                     let evacuated = !item.value.is_empty();
                     listed.extend(evacuated.then(|| domain.clone()));
-                    changed |= self.known.take_evacuation(domain, item.offset, evacuated, now);
+                    changed |= self.known.apply_evacuation(domain, item.offset, evacuated, now);
                 }
                 Err(err) => self.note_unreadable("evacuation", item, &err.to_string()),
             }
@@ -68,7 +68,7 @@
     fn on_config(&mut self, item: &Item) {
         match (self.wire.config)(&item.value) {
             Ok(cfg) => {
-                let config = self.known.take_config(cfg);
+                let config = self.known.apply_config(cfg);
                 if config {
                     self.known.on_operator_changed(self.clock.now());
                 }
@@ -91,9 +91,9 @@
         }
         if changes.whole {
             let listed: Vec<&str> = changes.items.iter().map(|item| item.key.as_str()).collect();
-            changed |= self.known.drop_unlisted(&listed, changes.end, bound);
+            changed |= self.known.remove_unlisted(&listed, changes.end, bound);
         }
-        self.known.servers_known_to(changes.end, Some(asked), changed, now);
+        self.known.mark_servers_current(changes.end, Some(asked), changed, now);
         self.on_changed(Changed { servers: changed, ..Changed::default() });
         self.tell_known_to();
     }
@@ -109,7 +109,7 @@
             }
         };
         if item.value.is_empty() {
-            return self.known.take_server(name, item.offset, None, bound);
+            return self.known.apply_server(name, item.offset, None, bound);
         }
         let server = match (self.wire.server)(&item.key, &item.value) {
             Ok(server) => Some(server),
@@ -118,7 +118,7 @@
                 None
             }
         };
-        self.known.take_server(name, item.offset, server, bound)
+        self.known.apply_server(name, item.offset, server, bound)
     }
 
     pub(super) fn note_unreadable(&mut self, what: &'static str, item: &Item, why: &str) {
@@ -136,13 +136,13 @@
                 continue;
             }
             match (item.key.parse::<HostId>(), HostEntry::from_bytes(&item.value)) {
-                (Ok(host), Ok(entry)) => changed |= self.known.take_host(host, item.offset, entry),
+                (Ok(host), Ok(entry)) => changed |= self.known.apply_host(host, item.offset, entry),
                 (Err(err), _) => self.note_unreadable("host", item, &err.to_string()),
                 (_, Err(err)) => self.note_unreadable("host", item, &err.to_string()),
             }
         }
         self.has_read_hosts = true;
-        self.known.hosts_known_to(changes.end);
+        self.known.mark_hosts_current(changes.end);
         self.on_changed(Changed { hosts: changed, ..Changed::default() });
         // The first host of all finds an empty list, and that is news too.
         self.order_hosts();
@@ -166,7 +166,7 @@
         let steps = news.steps;
         let services: Vec<ServiceName> =
             news.maps.iter().map(|(service, _)| service.clone()).collect();
-        let changed = self.known.take_news(news, answered);
+        let changed = self.known.apply_update(news, answered);
         // Only now: a host that asks in between would take what was known before for as new as these.
         self.heard.on_news(told, steps);
         self.on_changed(changed);
--- a/crates/jacinthbeam-host/src/process/control/state.rs
+++ b/crates/jacinthbeam-host/src/process/control/state.rs
@@ -33,11 +33,11 @@
     Settings, Wire,
     process::{
         inbox::Kind,
-        known::{Changed, Known},
         membership::Standby,
         metrics::Counters,
         peers::{HostEntry, order::Neighbours},
         reach::Reach,
+        replica::{Changed, StoreReplica},
         traffic::Gates,
         usage,
     },
@@ -74,7 +74,7 @@
     pub(super) tx: Tx,
     pub(super) store: Client,
     pub(super) caller: Caller,
-    pub(super) known: Known,
+    pub(super) known: StoreReplica,
     /// Cold servers, and whether this host is drawn as a sender of each among the hosts that it knows.
     pub(super) drawn: BTreeMap<ServerId, ColdServer>,
     /// Evidence of requests that crash servers.
@@ -132,7 +132,7 @@
             noted: None,
             socket,
             tx,
-            known: Known::default(),
+            known: StoreReplica::default(),
             drawn: BTreeMap::new(),
             crashes: Exchange::new(me.host.clone(), incarnation),
             crashes_told: crashes::SyncState::default(),
@@ -268,7 +268,7 @@
             Input::Datagram(message) => self.on_datagram(message),
             Input::Tick => {
                 self.tell_known_to();
-                if self.known.pass_time(self.clock.now()) {
+                if self.known.expire_cold_servers(self.clock.now()) {
                     self.on_changed(Changed { servers: true, ..Changed::default() });
                 }
                 self.stand_by();
--- a/crates/jacinthbeam-host/src/process/map_history.rs
+++ b/crates/jacinthbeam-host/src/process/map_history.rs
@@ -63,7 +63,7 @@
     }
 
     /// What to tell a host that has the map `known`, if that is not the newest.
-    pub(super) fn news_for(&self, known: Option<Revision>) -> Option<MapNews> {
+    pub(super) fn update_for(&self, known: Option<Revision>) -> Option<MapNews> {
         if known.is_some_and(|known| known >= self.newest.revision()) {
             return None;
         }
--- a/crates/jacinthbeam-host/src/process/known/hosts.rs
+++ b/crates/jacinthbeam-host/src/process/replica/hosts.rs
@@ -5,10 +5,10 @@
 use jacinthbeam_route::Server;
 use jacinthbeam_types::prelude::*;
 
-use super::Known;
+use super::StoreReplica;
 use crate::process::peers::HostEntry;
 
-impl Known {
+impl StoreReplica {
     /// The hosts and where they are.
     pub fn hosts(&self) -> impl Iterator<Item = (&HostId, &HostEntry)> {
         self.hosts.iter().map(|(host, (_, entry))| (host, entry))
@@ -33,7 +33,7 @@
     }
 
     /// Takes the record of a host. Returns whether it is newer.
-    pub fn take_host(&mut self, host: HostId, offset: Offset, entry: HostEntry) -> bool {
+    pub fn apply_host(&mut self, host: HostId, offset: Offset, entry: HostEntry) -> bool {
         let newer = self.hosts.get(&host).is_none_or(|(known, _)| *known < offset);
         if newer {
             self.hosts.insert(host, (offset, entry));
@@ -42,7 +42,7 @@
     }
 
     /// Takes note that everything of the hosts before `end` is known.
-    pub fn hosts_known_to(&mut self, end: Offset) {
+    pub fn mark_hosts_current(&mut self, end: Offset) {
         self.hosts_end = self.hosts_end.max(end);
     }
 
--- a/crates/jacinthbeam-host/src/process/known/listing.rs
+++ b/crates/jacinthbeam-host/src/process/replica/listing.rs
@@ -8,10 +8,10 @@
 use jacinthbeam_route::{Server, Servers};
 use jacinthbeam_types::prelude::*;
 
-use super::{Entry, Known};
+use super::{Entry, StoreReplica};
 use crate::version::Leaving;
 
-impl Known {
+impl StoreReplica {
     /// Makes the list that requests and grants see, of the entries and of what the operator and the configuration say of their domains and
     /// services.
     pub(super) fn list_servers(&mut self, now: Instant) {
@@ -42,7 +42,7 @@
     }
 
     /// Whether a server that is listed as cold is so no more, and what the list says of it has been brought up to date.
-    pub fn pass_time(&mut self, now: Instant) -> bool {
+    pub fn expire_cold_servers(&mut self, now: Instant) -> bool {
         let is_over = self.cold.values().any(|until| *until <= now);
         if is_over {
             self.list_servers(now);
@@ -59,7 +59,7 @@
     }
 
     /// Takes the operator's record of a failure domain's evacuation, or that it was removed. Returns whether it is news.
-    pub fn take_evacuation(
+    pub fn apply_evacuation(
         &mut self,
         domain: FailureDomain,
         offset: Offset,
--- a/crates/jacinthbeam-host/src/process/known/mod.rs
+++ b/crates/jacinthbeam-host/src/process/replica/mod.rs
@@ -50,7 +50,7 @@
 
 /// Everything that this host knows.
 #[derive(Debug, Default)]
-pub struct Known {
+pub struct StoreReplica {
     config: Option<Arc<Config>>,
     /// No newer configuration had been acknowledged before this moment.
     config_as_of: Option<Instant>,
@@ -71,7 +71,7 @@
     leaving: Arc<BTreeMap<ServerId, Leaving>>,
     /// Servers of the list that are cold, and until when.
     cold: BTreeMap<ServerId, Instant>,
-    /// Requests under which servers have ended, as of the last [`Known::set_suspects`].
+    /// Requests under which servers have ended, as of the last [`StoreReplica::set_suspects`].
     suspects: Arc<Suspects>,
     /// Changes of servers that are not logged yet.
     lines: ServerLines,
@@ -97,7 +97,7 @@
     }
 }
 
-impl Known {
+impl StoreReplica {
     /// The configuration in force.
     pub fn config(&self) -> Option<&Arc<Config>> {
         self.config.as_ref()
@@ -109,7 +109,7 @@
     }
 
     /// Takes note that no other configuration than what was taken had been acknowledged before `as_of`.
-    pub fn config_known_to(&mut self, as_of: Instant) {
+    pub fn mark_config_current(&mut self, as_of: Instant) {
         self.config_as_of = self.config_as_of.max(Some(as_of));
     }
 
@@ -152,7 +152,7 @@
     }
 
     /// Takes a configuration. Returns whether it is newer and sound.
-    pub fn take_config(&mut self, cfg: Config) -> bool {
+    pub fn apply_config(&mut self, cfg: Config) -> bool {
         let known = self.config.as_ref().map(|cfg| cfg.version);
         if known.is_some_and(|known| cfg.version <= known) {
             return false;
@@ -168,7 +168,7 @@
 
     /// Takes the record of a server, `None` if it has left. If it says that the server leaves, the store took it after `bound`.
     /// Returns whether it changed anything.
-    pub fn take_server(
+    pub fn apply_server(
         &mut self,
         name: ServerName,
         offset: Offset,
@@ -213,7 +213,7 @@
     }
 
     /// Takes note that everything of the servers before `end` is known, and all that the store took before `as_of`.
-    pub fn servers_known_to(
+    pub fn mark_servers_current(
         &mut self,
         end: Offset,
         as_of: Option<Instant>,
@@ -241,7 +241,7 @@
     }
 
     /// Takes an ownership map. Returns whether it is newer.
-    pub fn take_map(&mut self, service: ServiceName, map: Map) -> bool {
+    pub fn apply_map(&mut self, service: ServiceName, map: Map) -> bool {
         if let Some(known) = self.maps.get_mut(&service) {
             return known.take(map);
         }
@@ -249,9 +249,9 @@
         true
     }
 
-    fn take_map_news(&mut self, service: ServiceName, news: MapNews) -> bool {
+    fn apply_map_update(&mut self, service: ServiceName, news: MapNews) -> bool {
         match news {
-            MapNews::Whole(map) => self.take_map(service, map),
+            MapNews::Whole(map) => self.apply_map(service, map),
             // Changes against a map that this host has no more are of no use; it asks again by the one that it has.
             MapNews::Changes(changes) => {
                 self.maps.get_mut(&service).is_some_and(|known| known.take_changes(&changes))
@@ -260,7 +260,7 @@
     }
 
     /// What this host would ask another for.
-    pub fn question(&self, wait: Duration) -> Asked {
+    pub fn update_request(&self, wait: Duration) -> Asked {
         let revision = |(service, map): (&ServiceName, &MapHistory)| {
             (service.clone(), map.newest().revision())
         };
@@ -277,14 +277,14 @@
     }
 
     /// What this host knows and the other doesn't.
-    pub fn news_for(&self, asked: &Asked, age: Duration, now: Instant) -> News {
+    pub fn update_for(&self, asked: &Asked, age: Duration, now: Instant) -> News {
         let config = self.config.as_ref().filter(|cfg| asked.config < Some(cfg.version));
         let all_servers = asked.servers_end <= self.forgotten_before;
         let servers =
             self.servers.iter().filter(|(_, e)| all_servers || e.offset >= asked.servers_end);
         let hosts = self.hosts.iter().filter(|(_, (offset, _))| *offset >= asked.hosts_end);
         let maps = self.maps.iter().filter_map(|(service, map)| {
-            Some((service.clone(), map.news_for(asked.maps.get(service).copied())?))
+            Some((service.clone(), map.update_for(asked.maps.get(service).copied())?))
         });
         let entry = |(name, entry): (&ServerName, &Entry)| ServerNews {
             name: name.clone(),
@@ -313,45 +313,45 @@
     }
 
     /// Takes what another host knew at `at`, or later.
-    pub fn take_news(&mut self, news: News, at: Instant) -> Changed {
+    pub fn apply_update(&mut self, news: News, at: Instant) -> Changed {
         let mut changed = Changed::default();
         let bound = Leaving::after(self.servers_as_of);
         if let Some(cfg) = news.config {
-            changed.config = self.take_config(cfg);
+            changed.config = self.apply_config(cfg);
         }
         let operator_bound = Leaving::after(self.config_as_of);
         let evacuations = self.evacuations.take_updates(news.evacuations, operator_bound, at);
         if let Some(as_of) = news.config_age.and_then(|age| at.checked_sub(age)) {
-            self.config_known_to(as_of);
+            self.mark_config_current(as_of);
         }
         if news.all_servers {
             let listed: Vec<&str> = news.servers.iter().map(|news| news.name.as_str()).collect();
-            changed.servers = self.drop_unlisted(&listed, news.servers_end, bound);
+            changed.servers = self.remove_unlisted(&listed, news.servers_end, bound);
         }
         for ServerNews { name, offset, server, leaving_for } in news.servers {
             let told = Leaving::after(leaving_for.and_then(|span| at.checked_sub(span)));
-            changed.servers |= self.take_server(name, offset, server, bound.closer(told));
+            changed.servers |= self.apply_server(name, offset, server, bound.closer(told));
         }
         if news.servers_end > Offset(0) {
             let as_of = at.checked_sub(news.age);
-            self.servers_known_to(news.servers_end, as_of, changed.servers, at);
+            self.mark_servers_current(news.servers_end, as_of, changed.servers, at);
         }
         if evacuations || changed.config {
             self.on_operator_changed(at);
             changed.servers = true;
         }
         for (host, offset, entry) in news.hosts {
-            changed.hosts |= self.take_host(host, offset, entry);
+            changed.hosts |= self.apply_host(host, offset, entry);
         }
-        self.hosts_known_to(news.hosts_end);
+        self.mark_hosts_current(news.hosts_end);
         for (service, map) in news.maps {
-            changed.maps |= self.take_map_news(service, map);
+            changed.maps |= self.apply_map_update(service, map);
         }
         changed
     }
 
     /// Drops servers that a whole list lacks, unless they came after it. Returns whether there were any.
-    pub fn drop_unlisted(&mut self, listed: &[&str], end: Offset, bound: Leaving) -> bool {
+    pub fn remove_unlisted(&mut self, listed: &[&str], end: Offset, bound: Leaving) -> bool {
         let missing = |(name, entry): &(&ServerName, &Entry)| {
             entry.server.is_some() && entry.offset < end && !listed.contains(&name.as_str())
         };
@@ -360,7 +360,7 @@
         let last = Offset(end.0.saturating_sub(1));
         let mut changed = false;
         for name in missing {
-            changed |= self.take_server(name, last, None, bound);
+            changed |= self.apply_server(name, last, None, bound);
         }
         changed
     }
--- a/crates/jacinthbeam-host/tests/evacuation.rs
+++ b/crates/jacinthbeam-host/tests/evacuation.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use jacinthbeam_host::{
-    process::{evacuation::Evacuations, known::Known},
+    process::{evacuation::Evacuations, replica::StoreReplica},
     version::{Grace, Leaving},
 };
 use jacinthbeam_route::{Config, Server, Service, SlowStart};
@@ -43,21 +43,21 @@
 }
 
 /// A host that has read a server of each of two domains at `now`.
-fn host(now: Instant) -> Known {
-    let mut known = Known::default();
-    known.take_config(config());
-    known.config_known_to(now);
+fn host(now: Instant) -> StoreReplica {
+    let mut known = StoreReplica::default();
+    known.apply_config(config());
+    known.mark_config_current(now);
     for (n, of) in [(1, "a"), (2, "b")] {
         let server = server(n, of);
         let name = server.id.name().clone();
-        known.take_server(name, Offset(n.into()), Some(server), Leaving::Since(now));
+        known.apply_server(name, Offset(n.into()), Some(server), Leaving::Since(now));
     }
-    known.servers_known_to(Offset(3), Some(now), true, now);
+    known.mark_servers_current(Offset(3), Some(now), true, now);
     known
 }
 
-fn evacuate(known: &mut Known, offset: u64, evacuated: bool, now: Instant) {
-    assert!(known.take_evacuation(domain("a"), Offset(offset), evacuated, now));
+fn evacuate(known: &mut StoreReplica, offset: u64, evacuated: bool, now: Instant) {
+    assert!(known.apply_evacuation(domain("a"), Offset(offset), evacuated, now));
     known.on_operator_changed(now);
 }
 
@@ -80,11 +80,11 @@
 #[test]
 fn a_host_that_cannot_know_since_when_sends_nothing() {
     let now = Instant::now();
-    let mut known = Known::default();
-    known.take_evacuation(domain("a"), Offset(7), true, now);
+    let mut known = StoreReplica::default();
+    known.apply_evacuation(domain("a"), Offset(7), true, now);
     let server = server(1, "a");
-    known.take_server(server.id.name().clone(), Offset(1), Some(server.clone()), Leaving::LongAgo);
-    known.servers_known_to(Offset(2), Some(now), true, now);
+    known.apply_server(server.id.name().clone(), Offset(1), Some(server.clone()), Leaving::LongAgo);
+    known.mark_servers_current(Offset(2), Some(now), true, now);
     assert!(!known.view().may_send(&server.id, now, GRACE));
 }
 
@@ -96,8 +96,8 @@
     let mut leaving = server(1, "a");
     leaving.draining = true;
     let name = leaving.id.name().clone();
-    known.take_server(name, Offset(4), Some(leaving.clone()), Leaving::Since(begun));
-    known.servers_known_to(Offset(5), Some(begun), true, begun);
+    known.apply_server(name, Offset(4), Some(leaving.clone()), Leaving::Since(begun));
+    known.mark_servers_current(Offset(5), Some(begun), true, begun);
     evacuate(&mut known, 7, true, begun);
     assert!(!known.view().may_send(&leaving.id, begun + GRACE.drained, GRACE));
 }
@@ -114,8 +114,8 @@
     assert!(known.view().servers.takes_work(&id));
     let until: Vec<Instant> = known.cold().map(|(_, _, until)| until).collect();
     assert_eq!(until, [back + Duration::from_secs(3)]);
-    assert!(!known.pass_time(back + Duration::from_millis(2900)));
-    assert!(known.pass_time(back + Duration::from_secs(3)));
+    assert!(!known.expire_cold_servers(back + Duration::from_millis(2900)));
+    assert!(known.expire_cold_servers(back + Duration::from_secs(3)));
     assert!(!known.servers().get(&id).unwrap().is_cold());
 }
 
@@ -124,9 +124,9 @@
 fn evacuations_propagate_between_hosts_with_their_age() {
     let begun = Instant::now();
     let (mut reader, mut other) = (host(begun), host(begun));
-    let propagate = |reader: &Known, other: &mut Known, at: Instant| {
-        let update = reader.news_for(&other.question(Duration::ZERO), Duration::ZERO, at);
-        other.take_news(update, at)
+    let propagate = |reader: &StoreReplica, other: &mut StoreReplica, at: Instant| {
+        let update = reader.update_for(&other.update_request(Duration::ZERO), Duration::ZERO, at);
+        other.apply_update(update, at)
     };
     evacuate(&mut reader, 7, true, begun + Duration::from_millis(100));
     let at = begun + Duration::from_secs(1);
--- a/crates/jacinthbeam-host/tests/known.rs
+++ b/crates/jacinthbeam-host/tests/known.rs
@@ -4,7 +4,7 @@
 
 use arbtest::arbtest;
 use jacinthbeam_host::{
-    process::{known::Known, peers::HostEntry},
+    process::{peers::HostEntry, replica::StoreReplica},
     version::{Grace, Leaving},
 };
 use jacinthbeam_range::{Key, KeyRange, Map, Owner};
@@ -33,10 +33,10 @@
 }
 
 /// Takes one record as it comes from the store.
-fn take(known: &mut Known, now: Instant, offset: u64, n: u32, server: Option<Server>) {
+fn take(known: &mut StoreReplica, now: Instant, offset: u64, n: u32, server: Option<Server>) {
     let changed =
-        known.take_server(id(n).name().clone(), Offset(offset), server, Leaving::Since(now));
-    known.servers_known_to(Offset(offset + 1), Some(now), changed, now);
+        known.apply_server(id(n).name().clone(), Offset(offset), server, Leaving::Since(now));
+    known.mark_servers_current(Offset(offset + 1), Some(now), changed, now);
 }
 
 /// A host sends requests to a backend server that left three seconds ago.
@@ -46,15 +46,15 @@
 #[test]
 fn a_whole_list_drops_servers_that_came_from_another_host() {
     let now = Instant::now();
-    let (mut near, mut host) = (Known::default(), Known::default());
+    let (mut near, mut host) = (StoreReplica::default(), StoreReplica::default());
     take(&mut near, now, 0, 1, Some(server(1, false)));
     take(&mut near, now, 1, 2, Some(server(2, false)));
-    let news = near.news_for(&host.question(Duration::ZERO), Duration::ZERO, now);
-    host.take_news(news, now);
+    let news = near.update_for(&host.update_request(Duration::ZERO), Duration::ZERO, now);
+    host.apply_update(news, now);
     assert!(host.servers().takes_work(&id(2)));
 
-    let changed = host.drop_unlisted(&["s1"], Offset(5), Leaving::Since(now));
-    host.servers_known_to(Offset(5), Some(now), changed, now);
+    let changed = host.remove_unlisted(&["s1"], Offset(5), Leaving::Since(now));
+    host.mark_servers_current(Offset(5), Some(now), changed, now);
 
     assert!(changed && host.servers().get(&id(2)).is_none());
     assert!(host.servers().takes_work(&id(1)));
@@ -72,7 +72,7 @@
 #[test]
 fn an_older_list_brings_no_server_back() {
     let now = Instant::now();
-    let mut host = Known::default();
+    let mut host = StoreReplica::default();
     take(&mut host, now, 3, 1, Some(server(1, false)));
     take(&mut host, now, 7, 1, None);
     take(&mut host, now, 3, 1, Some(server(1, false)));
@@ -83,7 +83,7 @@
 #[test]
 fn a_server_whose_entry_is_back_takes_work_again() {
     let now = Instant::now();
-    let mut host = Known::default();
+    let mut host = StoreReplica::default();
     take(&mut host, now, 1, 1, Some(server(1, false)));
     take(&mut host, now, 2, 1, None);
     take(&mut host, now, 3, 1, Some(server(1, false)));
@@ -96,7 +96,7 @@
 fn a_host_that_follows_another_knows_the_same() {
     arbtest(|u| {
         let begun = Instant::now();
-        let (mut near, mut host) = (Known::default(), Known::default());
+        let (mut near, mut host) = (StoreReplica::default(), StoreReplica::default());
         let (mut offset, mut now) = (0, begun);
         while !u.is_empty() {
             now += Duration::from_millis(u.int_in_range(0..=20_000)?);
@@ -109,8 +109,9 @@
             take(&mut near, now, offset, n, record);
             offset += 1;
             if u.ratio(1, 3)? {
-                let news = near.news_for(&host.question(Duration::ZERO), Duration::ZERO, now);
-                host.take_news(news, now);
+                let news =
+                    near.update_for(&host.update_request(Duration::ZERO), Duration::ZERO, now);
+                host.apply_update(news, now);
                 assert_eq!(host.servers(), near.servers());
             }
         }
@@ -126,15 +127,15 @@
         addr: format!("127.0.0.1:{port}").parse().unwrap(),
         domain: "a".parse().unwrap(),
     };
-    let (mut near, mut host) = (Known::default(), Known::default());
+    let (mut near, mut host) = (StoreReplica::default(), StoreReplica::default());
     let h1: HostId = "h1".parse().unwrap();
-    assert!(near.take_host(h1.clone(), Offset(4), entry(1)));
-    assert!(!near.take_host(h1.clone(), Offset(2), entry(2)));
-    near.hosts_known_to(Offset(5));
-    let news = near.news_for(&host.question(Duration::ZERO), Duration::ZERO, now);
-    host.take_news(news, now);
+    assert!(near.apply_host(h1.clone(), Offset(4), entry(1)));
+    assert!(!near.apply_host(h1.clone(), Offset(2), entry(2)));
+    near.mark_hosts_current(Offset(5));
+    let news = near.update_for(&host.update_request(Duration::ZERO), Duration::ZERO, now);
+    host.apply_update(news, now);
     assert_eq!(host.hosts().collect::<Vec<_>>(), [(&h1, &entry(1))]);
-    let again = near.news_for(&host.question(Duration::ZERO), Duration::ZERO, now);
+    let again = near.update_for(&host.update_request(Duration::ZERO), Duration::ZERO, now);
     assert!(again.is_empty());
 }
 
@@ -146,21 +147,24 @@
 fn a_late_word_of_leaving_counts_from_the_store() {
     let begun = Instant::now();
     let after = |ms| begun + Duration::from_millis(ms);
-    let (mut reader, mut relay, mut host) = (Known::default(), Known::default(), Known::default());
+    let (mut reader, mut relay, mut host) =
+        (StoreReplica::default(), StoreReplica::default(), StoreReplica::default());
     take(&mut reader, after(0), 0, 1, Some(server(1, false)));
-    let news = reader.news_for(&relay.question(Duration::ZERO), Duration::ZERO, after(0));
-    relay.take_news(news, after(0));
-    let news = relay.news_for(&host.question(Duration::ZERO), Duration::ZERO, after(0));
-    host.take_news(news, after(0));
+    let news = reader.update_for(&relay.update_request(Duration::ZERO), Duration::ZERO, after(0));
+    relay.apply_update(news, after(0));
+    let news = relay.update_for(&host.update_request(Duration::ZERO), Duration::ZERO, after(0));
+    host.apply_update(news, after(0));
     // The read of 500 ms lacked it.
-    reader.servers_known_to(Offset(1), Some(after(500)), false, after(510));
+    reader.mark_servers_current(Offset(1), Some(after(500)), false, after(510));
     let bound = Leaving::after(reader.servers_as_of());
-    let changed = reader.take_server(id(1).name().clone(), Offset(1), Some(server(1, true)), bound);
-    reader.servers_known_to(Offset(2), Some(after(1000)), changed, after(1010));
-    let news = reader.news_for(&relay.question(Duration::ZERO), Duration::ZERO, after(1010));
-    relay.take_news(news, after(1010));
-    let news = relay.news_for(&host.question(Duration::ZERO), Duration::ZERO, after(1900));
-    host.take_news(news, after(1900));
+    let changed =
+        reader.apply_server(id(1).name().clone(), Offset(1), Some(server(1, true)), bound);
+    reader.mark_servers_current(Offset(2), Some(after(1000)), changed, after(1010));
+    let news =
+        reader.update_for(&relay.update_request(Duration::ZERO), Duration::ZERO, after(1010));
+    relay.apply_update(news, after(1010));
+    let news = relay.update_for(&host.update_request(Duration::ZERO), Duration::ZERO, after(1900));
+    host.apply_update(news, after(1900));
 
     let grace = grace(Duration::from_millis(1700));
     assert!(host.view().may_send(&id(1), after(2150), grace), "it may still be used");
@@ -171,14 +175,14 @@
 #[test]
 fn a_server_that_leaves_for_an_unknown_time_is_sent_nothing() {
     let now = Instant::now();
-    let mut known = Known::default();
+    let mut known = StoreReplica::default();
     let bound = Leaving::after(known.servers_as_of());
-    let changed = known.take_server(id(1).name().clone(), Offset(0), Some(server(1, true)), bound);
-    known.servers_known_to(Offset(1), Some(now), changed, now);
+    let changed = known.apply_server(id(1).name().clone(), Offset(0), Some(server(1, true)), bound);
+    known.mark_servers_current(Offset(1), Some(now), changed, now);
     assert!(!known.view().may_send(&id(1), now, grace(Duration::from_secs(2))));
-    let mut host = Known::default();
-    let news = known.news_for(&host.question(Duration::ZERO), Duration::ZERO, now);
-    host.take_news(news, now);
+    let mut host = StoreReplica::default();
+    let news = known.update_for(&host.update_request(Duration::ZERO), Duration::ZERO, now);
+    host.apply_update(news, now);
     assert!(!host.view().may_send(&id(1), now, grace(Duration::from_secs(2))));
 }
 
@@ -191,7 +195,7 @@
         id: ServerId::new(id(1).name().clone(), Some(Born(born))),
         ..server(1, false)
     };
-    let mut known = Known::default();
+    let mut known = StoreReplica::default();
     take(&mut known, now, 0, 1, Some(life(5)));
     take(&mut known, now, 1, 1, Some(Server { draining: true, ..life(5) }));
     take(&mut known, now, 2, 1, Some(life(9)));
@@ -210,20 +214,20 @@
 #[test]
 fn the_age_of_a_configuration_passes_from_host_to_host() {
     let read_at = Instant::now();
-    let (mut near, mut host) = (Known::default(), Known::default());
+    let (mut near, mut host) = (StoreReplica::default(), StoreReplica::default());
     assert_eq!(
-        host.news_for(&near.question(Duration::ZERO), Duration::ZERO, read_at).config_age,
+        host.update_for(&near.update_request(Duration::ZERO), Duration::ZERO, read_at).config_age,
         None
     );
-    near.config_known_to(read_at);
+    near.mark_config_current(read_at);
 
     let told_at = read_at + Duration::from_secs(2);
-    let news = near.news_for(&host.question(Duration::ZERO), Duration::ZERO, told_at);
+    let news = near.update_for(&host.update_request(Duration::ZERO), Duration::ZERO, told_at);
     assert_eq!(news.config_age, Some(Duration::from_secs(2)));
-    host.take_news(news, told_at);
+    host.apply_update(news, told_at);
     assert_eq!(host.config_as_of(), Some(read_at));
 
-    host.config_known_to(read_at - Duration::from_secs(1));
+    host.mark_config_current(read_at - Duration::from_secs(1));
     assert_eq!(host.config_as_of(), Some(read_at));
 }
 
@@ -234,7 +238,7 @@
     arbtest(|u| {
         let now = Instant::now();
         let service: ServiceName = "tiles".parse().unwrap();
-        let (mut reader, mut host) = (Known::default(), Known::default());
+        let (mut reader, mut host) = (StoreReplica::default(), StoreReplica::default());
         let mut map = Map::unowned();
         for _ in 0..u.int_in_range(1..=120)? {
             map.version += 1;
@@ -249,10 +253,11 @@
             let owner = Owner { server: id(n), addr };
             let range = KeyRange { first: Key(first), last: Key(last) };
             map.assign(range, Some(owner), Token(u.int_in_range(1..=3)?), None);
-            assert!(reader.take_map(service.clone(), map.clone()));
+            assert!(reader.apply_map(service.clone(), map.clone()));
             if u.ratio(1, 5)? {
-                let news = reader.news_for(&host.question(Duration::ZERO), Duration::ZERO, now);
-                host.take_news(news, now);
+                let news =
+                    reader.update_for(&host.update_request(Duration::ZERO), Duration::ZERO, now);
+                host.apply_update(news, now);
                 assert_eq!(host.map(&service), reader.map(&service));
             }
         }
--- a/crates/jacinthbeam-host/tests/logs.rs
+++ b/crates/jacinthbeam-host/tests/logs.rs
@@ -10,8 +10,8 @@
 use jacinthbeam_host::{
     explain::{Error, Line, story},
     process::{
-        known::Known,
         logs::{Queue, Quota},
+        replica::StoreReplica,
     },
     version::Leaving,
 };
@@ -154,7 +154,7 @@
 #[test]
 fn many_servers_are_told_of_in_one_line() {
     let now = Instant::now();
-    let mut known = Known::default();
+    let mut known = StoreReplica::default();
     let server = |n: u32| Server {
         id: format!("i-{n}").parse().unwrap(),
         service: "tiles".parse().unwrap(),
@@ -165,13 +165,13 @@
         warmup_left: Duration::ZERO,
         cold_rate: None,
     };
-    let take = |known: &mut Known, at: u64, of: std::ops::Range<u32>, there: bool| {
+    let take = |known: &mut StoreReplica, at: u64, of: std::ops::Range<u32>, there: bool| {
         for n in of {
             let name = format!("i-{n}").parse().unwrap();
             let server = there.then(|| server(n));
-            known.take_server(name, Offset(at), server, Leaving::Since(now));
+            known.apply_server(name, Offset(at), server, Leaving::Since(now));
         }
-        known.servers_known_to(Offset(at + 1), Some(now), true, now);
+        known.mark_servers_current(Offset(at + 1), Some(now), true, now);
     };
     let start = written(|| take(&mut known, 0, 0..809, true));
     assert_eq!(start.len(), 1);
