--- a/crates/jacinthbeam-host/src/process/control/ask.rs
+++ b/crates/jacinthbeam-host/src/process/control/ask.rs
@@ -7,7 +7,7 @@
 use tokio::sync::{oneshot, watch};
 
 use super::input::{Input, Tx};
-use crate::process::peers::{link::Link, news::Asked, source::Answer};
+use crate::process::peers::{link::Link, source::Answer, update::UpdateRequest};
 
 /// Pause between questions that brought no news at once, so that a host that answers wrongly isn't asked in a tight loop.
 pub(super) const LEAST_PAUSE: Duration = Duration::from_millis(5);
@@ -61,14 +61,14 @@
         }
     }
 
-    async fn question(&self, of: SocketAddr, topic: Topic) -> Option<Asked> {
+    async fn question(&self, of: SocketAddr, topic: Topic) -> Option<UpdateRequest> {
         let (reply, asked) = oneshot::channel();
         self.tx.send(Input::Question { of, topic, reply }).ok()?;
         asked.await.ok()
     }
 
     /// Waits until there is something to tell that the question lacks. One that doesn't hold all that there was is answered at once.
-    async fn more_to_tell(&self, asked: &Asked) {
+    async fn more_to_tell(&self, asked: &UpdateRequest) {
         let told = asked.crashes.as_ref().map_or(Position::default(), |question| question.end);
         let mut to_tell = self.to_tell.clone();
         let more = to_tell.wait_for(|to_tell| !asked.wait.is_zero() && *to_tell > told).await;
--- a/crates/jacinthbeam-host/src/process/control/calls.rs
+++ b/crates/jacinthbeam-host/src/process/control/calls.rs
@@ -94,7 +94,7 @@
                 if !round.is_open(&*clock, &line, over).await {
                     break;
                 }
-                // Asked right before each call: this process may have been suspended, or replaced, since it was ordered.
+                // UpdateRequest right before each call: this process may have been suspended, or replaced, since it was ordered.
                 if clock.now() >= until || !leadership.lasts() {
                     round.outcome = Outcome::NotSent;
                     break;
--- a/crates/jacinthbeam-host/src/process/control/crashes.rs
+++ b/crates/jacinthbeam-host/src/process/control/crashes.rs
@@ -11,7 +11,7 @@
 use tokio::sync::watch;
 
 use super::{across, ask::Topic, feed, state::Control};
-use crate::process::peers::news::{Asked, News};
+use crate::process::peers::update::{StateUpdate, UpdateRequest};
 
 /// Least pause between two times that other hosts are told of facts. When a failure domain loses power hundreds of them come
 /// within a second, and each telling is an answer to every host that follows this one.
@@ -74,11 +74,13 @@
     }
 
     /// What to ask the host at `of`.
-    pub(super) fn question(&self, of: SocketAddr, topic: Topic) -> Asked {
+    pub(super) fn question(&self, of: SocketAddr, topic: Topic) -> UpdateRequest {
         let now = self.clock.now();
         let mut asked = match topic {
             Topic::All => self.known.update_request(feed::WAIT),
-            Topic::Crashes => Asked { only_crashes: true, wait: across::WAIT, ..Asked::default() },
+            Topic::Crashes => {
+                UpdateRequest { only_crashes: true, wait: across::WAIT, ..UpdateRequest::default() }
+            }
         };
         let crashes = self.crashes.question(of, now);
         if crashes.end < self.crashes.end() {
@@ -89,15 +91,15 @@
     }
 
     /// What this host knows and the one that asks doesn't.
-    pub(super) fn answer(&mut self, asked: &Asked) -> News {
+    pub(super) fn answer(&mut self, asked: &UpdateRequest) -> StateUpdate {
         let now = self.clock.now();
         let news = match asked.only_crashes {
-            true => News::default(),
+            true => StateUpdate::default(),
             false => self.known.update_for(asked, self.heard.age(now), now),
         };
         let crashes = asked.crashes.as_ref().map(|question| self.crashes.answer(question, now));
         let (steps, asks_store) = (self.heard.steps(now), *self.direct.borrow());
-        News { steps, asks_store, crashes, ..news }
+        StateUpdate { steps, asks_store, crashes, ..news }
     }
 
     /// Takes what the host at `of` knew of servers that ended.
--- a/crates/jacinthbeam-host/src/process/control/input.rs
+++ b/crates/jacinthbeam-host/src/process/control/input.rs
@@ -13,7 +13,7 @@
     inbox::{Kind, Waiting},
     peers::{
         load::Message,
-        news::{Asked, News},
+        update::{StateUpdate, UpdateRequest},
     },
 };
 
@@ -86,7 +86,7 @@
         /// It knew it then, or later.
         answered: Instant,
         /// What it knew.
-        news: Box<News>,
+        news: Box<StateUpdate>,
     },
     /// A task is about to ask another host.
     Question {
@@ -95,14 +95,14 @@
         /// What it is asked for.
         topic: Topic,
         /// Where the question goes.
-        reply: oneshot::Sender<Asked>,
+        reply: oneshot::Sender<UpdateRequest>,
     },
     /// Another host asks for news.
     Answer {
         /// What it knows.
-        asked: Asked,
+        asked: UpdateRequest,
         /// Where the news go.
-        reply: oneshot::Sender<News>,
+        reply: oneshot::Sender<StateUpdate>,
     },
     /// The duties that fall to this host.
     Duties(BTreeSet<u32>),
--- a/crates/jacinthbeam-host/src/process/control/learn.rs
+++ b/crates/jacinthbeam-host/src/process/control/learn.rs
@@ -10,7 +10,7 @@
 use super::{ask::Topic, crashes::EVIDENCE_PREFIX, state::Control};
 use crate::{
     process::{
-        peers::{HostEntry, news::News, order::Neighbours},
+        peers::{HostEntry, order::Neighbours, update::StateUpdate},
         replica::Changed,
     },
     version::{ColdServer, KnownTo, Leaving},
@@ -154,7 +154,7 @@
         of: SocketAddr,
         topic: Topic,
         answered: Instant,
-        mut news: News,
+        mut news: StateUpdate,
     ) {
         if let Some(crashes) = news.crashes.take() {
             self.on_crashes(of, crashes);
--- a/crates/jacinthbeam-host/src/process/control/mod.rs
+++ b/crates/jacinthbeam-host/src/process/control/mod.rs
@@ -43,8 +43,8 @@
     pages,
     peers::{
         self,
-        news::{Asked, News},
         source::LOST_AFTER,
+        update::{StateUpdate, UpdateRequest},
     },
     status,
     traffic::Gates,
@@ -159,7 +159,7 @@
 }
 
 async fn serve_news(listener: TcpListener, tx: Tx, changes: watch::Receiver<Arc<View>>) {
-    let find = move |asked: Asked| {
+    let find = move |asked: UpdateRequest| {
         let (tx, changes) = (tx.clone(), changes.clone());
         let most = if asked.only_crashes { across::WAIT } else { feed::WAIT };
         let wait = asked.wait.min(most);
@@ -172,16 +172,16 @@
                 asked.borrow_mut().crashes.iter_mut().for_each(|question| question.facts.clear());
                 news
             };
-            peers::find::find(look, changes, wait, LOST_AFTER).await
+            peers::long_poll::long_poll(look, changes, wait, LOST_AFTER).await
         }
     };
     peers::serve::run(listener, find).await;
 }
 
 /// What this host knows and the other doesn't, at this moment.
-async fn look(tx: &Tx, asked: &Asked) -> News {
+async fn look(tx: &Tx, asked: &UpdateRequest) -> StateUpdate {
     let (reply, news) = oneshot::channel();
-    let nothing = || News { age: Duration::MAX, ..News::default() };
+    let nothing = || StateUpdate { age: Duration::MAX, ..StateUpdate::default() };
     match tx.send(Input::Answer { asked: asked.clone(), reply }) {
         Ok(()) => news.await.unwrap_or_else(|_| nothing()),
         Err(_) => nothing(),
--- a/crates/jacinthbeam-host/src/process/map_history.rs
+++ b/crates/jacinthbeam-host/src/process/map_history.rs
@@ -14,7 +14,7 @@
 
 /// A newer map for another host.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum MapNews {
+pub enum MapUpdate {
     /// All of it.
     Whole(Map),
     /// What differs from the one that the host has.
@@ -63,16 +63,16 @@
     }
 
     /// What to tell a host that has the map `known`, if that is not the newest.
-    pub(super) fn update_for(&self, known: Option<Revision>) -> Option<MapNews> {
+    pub(super) fn update_for(&self, known: Option<Revision>) -> Option<MapUpdate> {
         if known.is_some_and(|known| known >= self.newest.revision()) {
             return None;
         }
         let since = self.earlier.iter().position(|(of, _)| Some(*of) == known);
         let news = match (known, since) {
             (Some(known), Some(at)) => {
-                MapNews::Changes(self.newest.changes(known, &self.changed_from(at)))
+                MapUpdate::Changes(self.newest.changes(known, &self.changed_from(at)))
             }
-            _ => MapNews::Whole((*self.newest).clone()),
+            _ => MapUpdate::Whole((*self.newest).clone()),
         };
         Some(news)
     }
--- a/crates/jacinthbeam-host/src/process/peers/link.rs
+++ b/crates/jacinthbeam-host/src/process/peers/link.rs
@@ -10,8 +10,8 @@
 use tokio::{net::TcpStream, task::spawn_local, time::timeout};
 
 use super::{
-    news::{self, Asked, News},
     serve::{LocalExecutor, PATH},
+    update::{self, StateUpdate, UpdateRequest},
 };
 
 /// Longest attempt to connect to a host: five times the 50 ms that two domains may be apart. A host that has lost its power answers
@@ -78,20 +78,20 @@
     }
 
     /// Asks for news.
-    pub(crate) async fn ask(&mut self, asked: &Asked) -> Result<News, Error> {
-        let body = Full::new(Bytes::from(news::to_bytes(asked)));
+    pub(crate) async fn ask(&mut self, asked: &UpdateRequest) -> Result<StateUpdate, Error> {
+        let body = Full::new(Bytes::from(update::to_bytes(asked)));
         let req =
             Request::post(format!("http://host{PATH}")).body(body).expect("the path is valid");
         timeout(asked.wait + ANSWER_WITHIN, self.exchange(req)).await.map_err(|_| Error::Silent)?
     }
 
-    async fn exchange(&mut self, req: Request<Full<Bytes>>) -> Result<News, Error> {
+    async fn exchange(&mut self, req: Request<Full<Bytes>>) -> Result<StateUpdate, Error> {
         let res = self.sender.send_request(req).await.map_err(Error::Ended)?;
         if res.status() != StatusCode::OK {
             return Err(Error::Status(res.status()));
         }
-        let body = Limited::new(res.into_body(), news::LONGEST).collect().await;
+        let body = Limited::new(res.into_body(), update::LONGEST).collect().await;
         let bytes = body.map_err(|err| Error::Unreadable(err.to_string()))?.to_bytes();
-        news::from_bytes(&bytes).map_err(|err| Error::Unreadable(err.to_string()))
+        update::from_bytes(&bytes).map_err(|err| Error::Unreadable(err.to_string()))
     }
 }
--- a/crates/jacinthbeam-host/src/process/peers/mod.rs
+++ b/crates/jacinthbeam-host/src/process/peers/mod.rs
@@ -1,12 +1,12 @@
 //! What hosts say to each other: reports of load as datagrams, news of the store as h2 streams.
 
-pub mod find;
 pub(super) mod link;
 pub mod load;
-pub mod news;
+pub mod long_poll;
 pub mod order;
 pub(super) mod serve;
 pub mod source;
+pub mod update;
 
 use std::net::SocketAddr;
 
--- a/crates/jacinthbeam-host/src/process/peers/serve.rs
+++ b/crates/jacinthbeam-host/src/process/peers/serve.rs
@@ -9,7 +9,7 @@
 use hyper_util::rt::TokioIo;
 use tokio::task::spawn_local;
 
-use super::news::{self, Asked, News};
+use super::update::{self, StateUpdate, UpdateRequest};
 use crate::request::answer;
 
 /// Where news is asked for.
@@ -29,9 +29,9 @@
 }
 
 /// Answers each question with what `find` returns, which may take its time. Runs for ever.
-pub(crate) async fn run<F: Future<Output = News> + 'static>(
+pub(crate) async fn run<F: Future<Output = StateUpdate> + 'static>(
     listener: TcpListener,
-    find: impl Fn(Asked) -> F + 'static,
+    find: impl Fn(UpdateRequest) -> F + 'static,
 ) {
     let listener = match tokio::net::TcpListener::from_std(listener) {
         Ok(listener) => listener,
@@ -64,9 +64,9 @@
     }
 }
 
-async fn answer_one<F: Future<Output = News>>(
+async fn answer_one<F: Future<Output = StateUpdate>>(
     req: Request<Incoming>,
-    find: &impl Fn(Asked) -> F,
+    find: &impl Fn(UpdateRequest) -> F,
 ) -> Response<Full<Bytes>> {
     if req.uri().path() != PATH {
         return answer::plain(StatusCode::NOT_FOUND, format!("hosts ask at {PATH}"));
@@ -75,8 +75,8 @@
     let Ok(bytes) = body.map(|body| body.to_bytes()) else {
         return answer::plain(StatusCode::PAYLOAD_TOO_LARGE, "the question is too long".into());
     };
-    match news::from_bytes(&bytes) {
-        Ok(asked) => Response::new(Full::new(Bytes::from(news::to_bytes(&find(asked).await)))),
+    match update::from_bytes(&bytes) {
+        Ok(asked) => Response::new(Full::new(Bytes::from(update::to_bytes(&find(asked).await)))),
         Err(err) => {
             tracing::warn!(part = "peers", event = "unreadable-question", error = ?err);
             answer::plain(StatusCode::BAD_REQUEST, "the question can't be read".into())
--- a/crates/jacinthbeam-host/src/process/peers/news.rs
+++ b/crates/jacinthbeam-host/src/process/peers/update.rs
@@ -9,11 +9,11 @@
 use serde::{Deserialize, Serialize};
 
 use super::HostEntry;
-use crate::process::{evacuation::EvacuationUpdate, map_history::MapNews};
+use crate::process::{evacuation::EvacuationUpdate, map_history::MapUpdate};
 
 /// What the asking host knows.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Asked {
+pub struct UpdateRequest {
     /// Version of its configuration.
     pub config: Option<ConfigVersion>,
     /// Everything of evacuations before this offset.
@@ -34,7 +34,7 @@
 
 /// What is newer than that.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct News {
+pub struct StateUpdate {
     /// How long ago the answering host last heard of the store, by itself or through others.
     pub age: Duration,
     /// Hosts that these news have passed before the answering one: 0 if it reads the store itself, and the store answers it.
@@ -50,7 +50,7 @@
     /// What is newer of evacuations.
     pub evacuations: Vec<EvacuationUpdate>,
     /// Newer entries of backend servers.
-    pub servers: Vec<ServerNews>,
+    pub servers: Vec<ServerUpdate>,
     /// Everything before this offset is known after them.
     pub servers_end: Offset,
     /// Whether `servers` are all there are, since what has left meanwhile is no longer known.
@@ -60,14 +60,14 @@
     /// Everything before this offset is known after them.
     pub hosts_end: Offset,
     /// Newer ownership maps.
-    pub maps: Vec<(ServiceName, MapNews)>,
+    pub maps: Vec<(ServiceName, MapUpdate)>,
     /// What is new of servers that ended, and of the requests that they were running.
     pub crashes: Option<exchange::Answer>,
 }
 
 /// The newest entry of a backend server.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ServerNews {
+pub struct ServerUpdate {
     /// The server.
     pub name: ServerName,
     /// Offset of its record.
@@ -78,7 +78,7 @@
     pub leaving_for: Option<Duration>,
 }
 
-impl News {
+impl StateUpdate {
     /// Whether there is nothing newer.
     pub fn is_empty(&self) -> bool {
         self.config.is_none()
--- a/crates/jacinthbeam-host/src/process/replica/mod.rs
+++ b/crates/jacinthbeam-host/src/process/replica/mod.rs
@@ -20,13 +20,13 @@
 
 use super::{
     evacuation::Evacuations,
-    map_history::{MapHistory, MapNews},
+    map_history::{MapHistory, MapUpdate},
     server_lines::ServerLines,
 };
 use crate::{
     process::peers::{
         HostEntry,
-        news::{Asked, News, ServerNews},
+        update::{ServerUpdate, StateUpdate, UpdateRequest},
     },
     version::{Leaving, View},
 };
@@ -249,22 +249,22 @@
         true
     }
 
-    fn apply_map_update(&mut self, service: ServiceName, news: MapNews) -> bool {
+    fn apply_map_update(&mut self, service: ServiceName, news: MapUpdate) -> bool {
         match news {
-            MapNews::Whole(map) => self.apply_map(service, map),
+            MapUpdate::Whole(map) => self.apply_map(service, map),
             // Changes against a map that this host has no more are of no use; it asks again by the one that it has.
-            MapNews::Changes(changes) => {
+            MapUpdate::Changes(changes) => {
                 self.maps.get_mut(&service).is_some_and(|known| known.take_changes(&changes))
             }
         }
     }
 
     /// What this host would ask another for.
-    pub fn update_request(&self, wait: Duration) -> Asked {
+    pub fn update_request(&self, wait: Duration) -> UpdateRequest {
         let revision = |(service, map): (&ServiceName, &MapHistory)| {
             (service.clone(), map.newest().revision())
         };
-        Asked {
+        UpdateRequest {
             config: self.config.as_ref().map(|cfg| cfg.version),
             evacuations_end: self.evacuations.end(),
             servers_end: self.servers_end,
@@ -277,7 +277,7 @@
     }
 
     /// What this host knows and the other doesn't.
-    pub fn update_for(&self, asked: &Asked, age: Duration, now: Instant) -> News {
+    pub fn update_for(&self, asked: &UpdateRequest, age: Duration, now: Instant) -> StateUpdate {
         let config = self.config.as_ref().filter(|cfg| asked.config < Some(cfg.version));
         let all_servers = asked.servers_end <= self.forgotten_before;
         let servers =
@@ -286,13 +286,13 @@
         let maps = self.maps.iter().filter_map(|(service, map)| {
             Some((service.clone(), map.update_for(asked.maps.get(service).copied())?))
         });
-        let entry = |(name, entry): (&ServerName, &Entry)| ServerNews {
+        let entry = |(name, entry): (&ServerName, &Entry)| ServerUpdate {
             name: name.clone(),
             offset: entry.offset,
             server: entry.server.clone(),
             leaving_for: entry.leaving.map(|leaving| leaving.elapsed(now)),
         };
-        News {
+        StateUpdate {
             age,
             steps: u8::MAX,
             asks_store: false,
@@ -313,7 +313,7 @@
     }
 
     /// Takes what another host knew at `at`, or later.
-    pub fn apply_update(&mut self, news: News, at: Instant) -> Changed {
+    pub fn apply_update(&mut self, news: StateUpdate, at: Instant) -> Changed {
         let mut changed = Changed::default();
         let bound = Leaving::after(self.servers_as_of);
         if let Some(cfg) = news.config {
@@ -328,7 +328,7 @@
             let listed: Vec<&str> = news.servers.iter().map(|news| news.name.as_str()).collect();
             changed.servers = self.remove_unlisted(&listed, news.servers_end, bound);
         }
-        for ServerNews { name, offset, server, leaving_for } in news.servers {
+        for ServerUpdate { name, offset, server, leaving_for } in news.servers {
             let told = Leaving::after(leaving_for.and_then(|span| at.checked_sub(span)));
             changed.servers |= self.apply_server(name, offset, server, bound.closer(told));
         }
--- a/crates/jacinthbeam-host/tests/news.rs
+++ b/crates/jacinthbeam-host/tests/news.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use jacinthbeam_host::process::peers::{
-    find::find,
-    news::{News, ServerNews},
+    long_poll::long_poll,
+    update::{ServerUpdate, StateUpdate},
 };
 use jacinthbeam_types::prelude::*;
 use tokio::{sync::watch, time::Instant};
@@ -19,8 +19,8 @@
 async fn the_age_is_that_of_the_answer() {
     let heard = Instant::now();
     let (_tx, rx) = watch::channel(());
-    let look = async || News { age: heard.elapsed(), ..News::default() };
-    let news = find(look, rx, Duration::from_millis(700), TOO_OLD).await;
+    let look = async || StateUpdate { age: heard.elapsed(), ..StateUpdate::default() };
+    let news = long_poll(look, rx, Duration::from_millis(700), TOO_OLD).await;
     assert_eq!(news.age, Duration::from_millis(700));
 }
 
@@ -31,8 +31,8 @@
     let heard = Instant::now();
     let (_tx, rx) = watch::channel(());
     tokio::time::advance(Duration::from_millis(600)).await;
-    let look = async || News { age: heard.elapsed(), ..News::default() };
-    let news = find(look, rx, Duration::from_millis(700), TOO_OLD).await;
+    let look = async || StateUpdate { age: heard.elapsed(), ..StateUpdate::default() };
+    let news = long_poll(look, rx, Duration::from_millis(700), TOO_OLD).await;
     assert_eq!(news.age, TOO_OLD);
 }
 
@@ -42,18 +42,18 @@
     let (tx, rx) = watch::channel(0);
     let known = rx.clone();
     let look = async || {
-        let servers = (0..*known.borrow()).map(|n: u32| ServerNews {
+        let servers = (0..*known.borrow()).map(|n: u32| ServerUpdate {
             name: format!("s{n}").parse().unwrap(),
             offset: Offset(0),
             server: None,
             leaving_for: None,
         });
-        News { servers: servers.collect(), ..News::default() }
+        StateUpdate { servers: servers.collect(), ..StateUpdate::default() }
     };
     let tell = async {
         tokio::time::sleep(Duration::from_millis(30)).await;
         tx.send(1).unwrap();
     };
-    let (news, ()) = tokio::join!(find(look, rx, Duration::from_millis(700), TOO_OLD), tell);
+    let (news, ()) = tokio::join!(long_poll(look, rx, Duration::from_millis(700), TOO_OLD), tell);
     assert_eq!((news.servers.len(), begun.elapsed()), (1, Duration::from_millis(30)));
 }
