--- a/crates/jacinthbeam-host/src/process/control/feed.rs
+++ b/crates/jacinthbeam-host/src/process/control/feed.rs
@@ -18,7 +18,7 @@
 use crate::process::peers::{
     link::Link,
     order::{Neighbour, Neighbours},
-    source::{self, NoAnswer, Sources, Step},
+    source::{self, Action, NoAnswer, SourceSelector},
 };
 
 /// Longest wait for news at another host; its answer without news shows that it is there, and how fresh it is.
@@ -45,10 +45,10 @@
 
 /// Chooses sources for ever.
 pub(super) async fn run(mut feed: Feed) {
-    let mut sources = Sources::default();
+    let mut sources = SourceSelector::default();
     loop {
         let known = feed.neighbours.borrow_and_update().clone();
-        if !feed.seeds.is_empty() && source::asks_seeds(known.as_ref(), feed.age()) {
+        if !feed.seeds.is_empty() && source::should_ask_seeds(known.as_ref(), feed.age()) {
             feed.ask_seed().await;
             continue;
         }
@@ -59,19 +59,19 @@
         let lost = *feed.direct.borrow() && !feed.reads_store();
         let pick = |addrs: &[SocketAddr]| fastrand::choice(addrs).copied();
         match sources.next(feed.now(), &neighbours, lost, pick) {
-            Step::Ask(host) => ask_on(&feed, &mut sources, &host).await,
-            Step::Wait(pause) => {
+            Action::Ask(host) => ask_on(&feed, &mut sources, &host).await,
+            Action::Wait(pause) => {
                 if lost {
                     set_direct(&feed, false);
                 }
                 tokio::time::sleep(pause.max(LEAST_PAUSE)).await;
             }
-            Step::Read => {
+            Action::ReadStore => {
                 set_direct(&feed, true);
                 let pause = if feed.reads_store() { LOOK_AGAIN } else { LOOK_AGAIN_LOST };
                 feed.pause(pause).await;
             }
-            Step::Help(addr) => {
+            Action::AskForHelp(addr) => {
                 set_direct(&feed, true);
                 ask_for_help(&feed, addr).await;
                 sources.on_no_help(addr, feed.now());
@@ -120,7 +120,7 @@
 }
 
 /// Asks a host before this one, for as long as its answers are fresh.
-async fn ask_on(feed: &Feed, sources: &mut Sources, (host, addr): &Neighbour) {
+async fn ask_on(feed: &Feed, sources: &mut SourceSelector, (host, addr): &Neighbour) {
     let mut follows = false;
     let no_answer = match Link::open(*addr).await {
         Ok(mut link) => loop {
--- a/crates/jacinthbeam-host/src/process/control/heard.rs
+++ b/crates/jacinthbeam-host/src/process/control/heard.rs
@@ -7,7 +7,7 @@
 };
 
 use super::follow::{MAPS_LOST_AFTER, OPERATOR_LOST_AFTER};
-use crate::process::peers::source::LOST_AFTER;
+use crate::process::peers::source::MAX_STALENESS;
 
 /// What the store, or hosts that follow it, let this host hear.
 #[derive(Debug, Default)]
@@ -52,16 +52,16 @@
     /// Since when there may be something that the store didn't tell this host itself, of the servers, the operator or the owners. Reads for
     /// the operator and for maps wait, so that their answers may be older.
     fn by_itself(&self) -> Option<Instant> {
-        let operator = self.operator.get()? + (OPERATOR_LOST_AFTER - LOST_AFTER);
+        let operator = self.operator.get()? + (OPERATOR_LOST_AFTER - MAX_STALENESS);
         let maps = self.maps.borrow();
-        let maps = maps.values().map(|at| *at + (MAPS_LOST_AFTER - LOST_AFTER)).min();
+        let maps = maps.values().map(|at| *at + (MAPS_LOST_AFTER - MAX_STALENESS)).min();
         let heard = self.servers.get()?.min(operator);
         Some(maps.map_or(heard, |maps| maps.min(heard)))
     }
 
     /// Whether the store answers this host's own reads.
     pub(super) fn is_answered(&self, now: Instant) -> bool {
-        age(self.by_itself(), now) <= LOST_AFTER
+        age(self.by_itself(), now) <= MAX_STALENESS
     }
 
     /// How old what is known is.
--- a/crates/jacinthbeam-host/src/process/control/mod.rs
+++ b/crates/jacinthbeam-host/src/process/control/mod.rs
@@ -43,7 +43,7 @@
     pages,
     peers::{
         self,
-        source::LOST_AFTER,
+        source::MAX_STALENESS,
         update::{StateUpdate, UpdateRequest},
     },
     status,
@@ -172,7 +172,7 @@
                 asked.borrow_mut().crashes.iter_mut().for_each(|question| question.facts.clear());
                 news
             };
-            peers::long_poll::long_poll(look, changes, wait, LOST_AFTER).await
+            peers::long_poll::long_poll(look, changes, wait, MAX_STALENESS).await
         }
     };
     peers::serve::run(listener, find).await;
--- a/crates/jacinthbeam-host/src/process/peers/source.rs
+++ b/crates/jacinthbeam-host/src/process/peers/source.rs
@@ -3,7 +3,7 @@
 //! Calls to the store are limited and priced over all hosts, refused and unanswered ones too. If each host read for itself whenever it
 //! hears nothing, what is asked of the store would grow with the fleet: 295 hosts made 22,000 to 33,000 calls on days on which the store
 //! turned a third of them away, was silent for 8 s, or all lost power. So a host turns to the store only when it is its turn, after the
-//! first ones in the order of its domain that are there. At most [`MOST_TRY`] of a domain ask a store that doesn't answer, however long
+//! first ones in the order of its domain that are there. At most [`MAX_RETRYING_HOSTS`] of a domain ask a store that doesn't answer, however long
 //! that lasts.
 //!
 //! Each answer of a host says how old its news are and over how many hosts they came, so that nobody goes on with old ones or in a ring.
@@ -20,14 +20,14 @@
 
 /// Age of news above which a host looks for others: a pause between reads, and as much again for a slow answer. What the store
 /// acknowledges has two seconds to act everywhere.
-pub const LOST_AFTER: Duration = Duration::from_millis(950);
+pub const MAX_STALENESS: Duration = Duration::from_millis(950);
 
 /// Hosts of a failure domain that ask the store at the same time, at the most, while it gives them no answer. Where it turns away a third of
 /// all hosts, one domain in 27 has three such hosts in front; their news come from another domain then.
-pub const MOST_TRY: usize = 3;
+pub const MAX_RETRYING_HOSTS: usize = 3;
 
 /// Hosts before it that one host asks in turn: those that may try the store, and one more, since one of them may be about to stop.
-const ASKED: usize = MOST_TRY + 1;
+const ASKED: usize = MAX_RETRYING_HOSTS + 1;
 
 /// Time that a host gives each host before it for reading the store, before it reads the store itself: a new reader is assumed to have
 /// its first answer in some 20 ms, and a host with a tenth of a core stands still for 100 ms at a time.
@@ -67,12 +67,12 @@
 
 impl Answer {
     fn is_fresh(self) -> bool {
-        self.age <= LOST_AFTER
+        self.age <= MAX_STALENESS
     }
 
     /// Whether a host may go on with the answers of one before it. One that the store answers gives that up only for another such one: else
     /// two hosts would take their news from each other, one of which is turned away.
-    pub fn is_worth_following(self, reads_store: bool) -> bool {
+    pub fn can_be_followed(self, reads_store: bool) -> bool {
         let most = if reads_store { 0 } else { MOST_STEPS };
         self.is_fresh() && self.steps <= most
     }
@@ -85,8 +85,8 @@
 
 /// Whether a host asks those that its settings name: it knows no other, since the list of hosts is in a store that turns it away, and has
 /// heard of nothing lately.
-pub fn asks_seeds(known: Option<&Neighbours>, age: Duration) -> bool {
-    known.is_none_or(Neighbours::is_empty) && age > LOST_AFTER
+pub fn should_ask_seeds(known: Option<&Neighbours>, age: Duration) -> bool {
+    known.is_none_or(Neighbours::is_empty) && age > MAX_STALENESS
 }
 
 /// Why a host gave no answer.
@@ -100,15 +100,15 @@
 
 /// What a host does next for news.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Step {
+pub enum Action {
     /// Asks a host before it, and goes on with its answers if they are good.
     Ask(Neighbour),
     /// Waits so long, and looks again: it is the turn of others.
     Wait(Duration),
     /// Reads the store.
-    Read,
+    ReadStore,
     /// Asks the store whether it answers again, and meanwhile a host that is not before it.
-    Help(SocketAddr),
+    AskForHelp(SocketAddr),
 }
 
 /// What came of the questions to a host since there was last something to go on.
@@ -126,14 +126,14 @@
 
 /// What one host remembers of the others as sources.
 #[derive(Debug, Default)]
-pub struct Sources {
+pub struct SourceSelector {
     asked: BTreeMap<HostId, Asked>,
     /// Hosts before this one that asked the store without success, and until when that counts.
     trying: BTreeMap<HostId, Instant>,
     no_help: BTreeMap<SocketAddr, Instant>,
 }
 
-impl Sources {
+impl SourceSelector {
     /// What to do now. `lost` tells that the store, which this host asks, gives it no answers; `pick` takes one of several.
     pub fn next(
         &mut self,
@@ -141,22 +141,22 @@
         neighbours: &Neighbours,
         lost: bool,
         pick: impl Fn(&[SocketAddr]) -> Option<SocketAddr>,
-    ) -> Step {
+    ) -> Action {
         self.trying.retain(|_, until| now < *until);
         self.no_help.retain(|_, until| now < *until);
         let there = self.there(now, &neighbours.before);
         if let Some(host) = there.iter().find(|(host, _)| self.again(host) <= Some(now)) {
-            return Step::Ask((*host).clone());
+            return Action::Ask((*host).clone());
         }
         let trying = there.iter().filter(|(host, _)| self.trying.contains_key(host)).count();
         let turn = self.turn(&there).filter(|turn| now < *turn);
-        if trying >= MOST_TRY || turn.is_some() {
+        if trying >= MAX_RETRYING_HOSTS || turn.is_some() {
             let again = there.iter().filter_map(|(host, _)| self.again(host)).min();
             let until = again.into_iter().chain(turn).min().unwrap_or(now);
-            return Step::Wait(until.saturating_duration_since(now));
+            return Action::Wait(until.saturating_duration_since(now));
         }
         let help = if lost { pick(&self.helpers(neighbours)) } else { None };
-        help.map_or(Step::Read, Step::Help)
+        help.map_or(Action::ReadStore, Action::AskForHelp)
     }
 
     /// The first hosts of those before this one, without those that are away.
@@ -181,7 +181,7 @@
     /// Hosts that are asked while the store turns this one away: of its own domain first, since what others say crosses its border.
     fn helpers(&self, neighbours: &Neighbours) -> Vec<SocketAddr> {
         let is_open = |addr: &SocketAddr| !self.no_help.contains_key(addr);
-        let near = neighbours.after.iter().take(MOST_TRY).map(|(_, addr)| *addr);
+        let near = neighbours.after.iter().take(MAX_RETRYING_HOSTS).map(|(_, addr)| *addr);
         let near: Vec<_> = near.filter(is_open).collect();
         if !near.is_empty() {
             return near;
@@ -197,7 +197,7 @@
         reads_store: bool,
         now: Instant,
     ) -> bool {
-        if answer.is_worth_following(reads_store) {
+        if answer.can_be_followed(reads_store) {
             self.asked.remove(host);
             self.trying.remove(host);
             return true;
--- a/crates/jacinthbeam-host/tests/fleet/follow.rs
+++ b/crates/jacinthbeam-host/tests/fleet/follow.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, time::Duration};
 
-use jacinthbeam_host::process::peers::source::{NoAnswer, Step};
+use jacinthbeam_host::process::peers::source::{Action, NoAnswer};
 use jacinthbeam_types::prelude::*;
 
 use super::{
@@ -47,7 +47,7 @@
     /// Takes what the host that `n` follows says, if that is still good.
     fn goes_on(&mut self, n: usize, of: usize) -> bool {
         let good =
-            self.hosts[of].process == Process::Runs && self.answer(of).is_worth_following(false);
+            self.hosts[of].process == Process::Runs && self.answer(of).can_be_followed(false);
         if good {
             self.hosts[n].silent_since = None;
             self.hear(n, of);
@@ -90,19 +90,19 @@
         let host = &mut self.hosts[n];
         let neighbours = host.neighbours.clone().expect("it is decided once the hosts are known");
         match host.sources.next(at, &neighbours, lost, pick) {
-            Step::Ask((id, addr)) => self.ask(n, &id, addr),
-            Step::Wait(pause) => {
+            Action::Ask((id, addr)) => self.ask(n, &id, addr),
+            Action::Wait(pause) => {
                 if lost {
                     host.direct = false;
                 }
                 host.wake_at = now + (pause.as_millis() as u64).max(STEP);
             }
-            Step::Read => {
+            Action::ReadStore => {
                 host.direct = true;
                 let answered = self.is_answered(n);
                 self.hosts[n].wake_at = now + if answered { LOOK_AGAIN } else { LOOK_AGAIN_LOST };
             }
-            Step::Help(addr) => {
+            Action::AskForHelp(addr) => {
                 host.direct = true;
                 host.wake_at = u64::MAX;
                 let of = self.find(addr);
--- a/crates/jacinthbeam-host/tests/fleet/host.rs
+++ b/crates/jacinthbeam-host/tests/fleet/host.rs
@@ -1,6 +1,6 @@
 //! One host of a fleet, as far as its news go.
 
-use jacinthbeam_host::process::peers::{HostEntry, order::Neighbours, source::Sources};
+use jacinthbeam_host::process::peers::{HostEntry, order::Neighbours, source::SourceSelector};
 use jacinthbeam_types::prelude::*;
 
 use super::{Process, Store};
@@ -15,7 +15,7 @@
     pub(super) starts_at: u64,
     /// When a new host begins to look for others.
     pub(super) list_at: Option<u64>,
-    pub(super) sources: Sources,
+    pub(super) sources: SourceSelector,
     pub(super) neighbours: Option<Neighbours>,
     pub(super) follows: Option<usize>,
     /// Whom it asks for help.
@@ -41,7 +41,7 @@
             store: Store::Answers,
             starts_at: u64::MAX,
             list_at: None,
-            sources: Sources::default(),
+            sources: SourceSelector::default(),
             neighbours: None,
             follows: None,
             helper: None,
--- a/crates/jacinthbeam-host/tests/fleet/mod.rs
+++ b/crates/jacinthbeam-host/tests/fleet/mod.rs
@@ -11,7 +11,7 @@
 use jacinthbeam_host::process::peers::{
     HostEntry,
     order::{self, Neighbours},
-    source::{Answer, LOST_AFTER},
+    source::{Answer, MAX_STALENESS},
 };
 use jacinthbeam_store::{Item, keyed::Changes};
 use jacinthbeam_types::prelude::*;
@@ -180,7 +180,7 @@
     }
 
     fn is_fresh(&self, at: Option<u64>) -> bool {
-        at.is_some_and(|at| u128::from(self.now - at) <= LOST_AFTER.as_millis())
+        at.is_some_and(|at| u128::from(self.now - at) <= MAX_STALENESS.as_millis())
     }
 
     fn is_answered(&self, n: usize) -> bool {
--- a/crates/jacinthbeam-host/tests/source.rs
+++ b/crates/jacinthbeam-host/tests/source.rs
@@ -9,7 +9,7 @@
 use jacinthbeam_host::process::peers::{
     HostEntry,
     order::{Neighbour, Neighbours},
-    source::{Answer, LOST_AFTER, NoAnswer, Sources, Step, asks_seeds},
+    source::{Action, Answer, MAX_STALENESS, NoAnswer, SourceSelector, should_ask_seeds},
 };
 use jacinthbeam_types::prelude::*;
 
@@ -51,19 +51,19 @@
 /// went from host to host down the domain: each asked one that asked another. News pass three hosts at the most.
 #[test]
 fn news_pass_few_hosts_on_their_way() {
-    assert!(fresh(0).is_worth_following(false));
-    assert!(fresh(2).is_worth_following(false) && !fresh(3).is_worth_following(false));
+    assert!(fresh(0).can_be_followed(false));
+    assert!(fresh(2).can_be_followed(false) && !fresh(3).can_be_followed(false));
     assert!(fresh(1).helps() && !fresh(2).helps(), "those that follow would pass them on");
-    let old = Answer { age: LOST_AFTER + Duration::from_millis(1), ..fresh(0) };
-    assert!(!old.is_worth_following(false) && !old.helps());
+    let old = Answer { age: MAX_STALENESS + Duration::from_millis(1), ..fresh(0) };
+    assert!(!old.can_be_followed(false) && !old.helps());
 }
 
 /// The store turns the first host of a domain away. The second reads the store and is asked by the first. If it went on with the answers of the
 /// first, each would take its news from the other, and both would lose them.
 #[test]
 fn a_host_that_the_store_answers_follows_only_another_such_host() {
-    assert!(fresh(0).is_worth_following(true));
-    assert!(!fresh(1).is_worth_following(true));
+    assert!(fresh(0).can_be_followed(true));
+    assert!(!fresh(1).can_be_followed(true));
 }
 
 /// The store turns the first host of a failure domain away and serves the others there. The next ones read the store when the first has nothing
@@ -71,40 +71,41 @@
 #[test]
 fn a_host_that_is_turned_away_asks_in_its_own_domain() {
     let now = Instant::now();
-    let mut sources = Sources::default();
+    let mut sources = SourceSelector::default();
     let neighbours =
         Neighbours { before: Vec::new(), after: vec![host(2), host(3)], far: far([host(7)]) };
-    let next = |sources: &mut Sources, now, lost| sources.next(now, &neighbours, lost, first);
-    assert_eq!(next(&mut sources, now, false), Step::Read);
-    assert_eq!(next(&mut sources, now, true), Step::Help(addr(2)));
+    let next =
+        |sources: &mut SourceSelector, now, lost| sources.next(now, &neighbours, lost, first);
+    assert_eq!(next(&mut sources, now, false), Action::ReadStore);
+    assert_eq!(next(&mut sources, now, true), Action::AskForHelp(addr(2)));
     // None of them knows more: the whole domain is turned away.
     sources.on_no_help(addr(2), now);
     sources.on_no_help(addr(3), now);
-    assert_eq!(next(&mut sources, now, true), Step::Help(addr(7)));
+    assert_eq!(next(&mut sources, now, true), Action::AskForHelp(addr(7)));
     sources.on_no_help(addr(7), now);
-    assert_eq!(next(&mut sources, now, true), Step::Read);
+    assert_eq!(next(&mut sources, now, true), Action::ReadStore);
     let later = now + Duration::from_secs(2);
-    assert_eq!(next(&mut sources, later, true), Step::Help(addr(2)));
+    assert_eq!(next(&mut sources, later, true), Action::AskForHelp(addr(2)));
 }
 
 /// The hosts before are asked in their order. One that gave no answer is passed over for some seconds, longer each time.
 #[test]
 fn the_first_host_that_is_there_is_asked() {
     let now = Instant::now();
-    let mut sources = Sources::default();
+    let mut sources = SourceSelector::default();
     let neighbours = before(&[1, 2]);
-    let next = |sources: &mut Sources, now| sources.next(now, &neighbours, false, first);
-    assert_eq!(next(&mut sources, now), Step::Ask(host(1)));
+    let next = |sources: &mut SourceSelector, now| sources.next(now, &neighbours, false, first);
+    assert_eq!(next(&mut sources, now), Action::Ask(host(1)));
     sources.on_no_answer(&host(1).0, NoAnswer::Silent, now);
-    assert_eq!(next(&mut sources, now), Step::Ask(host(2)));
+    assert_eq!(next(&mut sources, now), Action::Ask(host(2)));
     sources.on_no_answer(&host(2).0, NoAnswer::Silent, now);
-    assert_eq!(next(&mut sources, now), Step::Read);
+    assert_eq!(next(&mut sources, now), Action::ReadStore);
     let later = now + Duration::from_secs(4);
-    assert_eq!(next(&mut sources, later), Step::Ask(host(1)));
+    assert_eq!(next(&mut sources, later), Action::Ask(host(1)));
     sources.on_no_answer(&host(1).0, NoAnswer::Silent, later);
     sources.on_no_answer(&host(2).0, NoAnswer::Silent, later);
-    assert_eq!(next(&mut sources, later + Duration::from_secs(4)), Step::Read);
-    assert_eq!(next(&mut sources, later + Duration::from_secs(7)), Step::Ask(host(1)));
+    assert_eq!(next(&mut sources, later + Duration::from_secs(4)), Action::ReadStore);
+    assert_eq!(next(&mut sources, later + Duration::from_secs(7)), Action::Ask(host(1)));
 }
 
 /// All 59 hosts of a domain lose the one that they follow, and each makes four calls to the store within milliseconds. Each host before one has
@@ -112,19 +113,19 @@
 #[test]
 fn a_host_leaves_the_store_to_those_before_it_for_their_turn() {
     let begun = Instant::now();
-    let mut sources = Sources::default();
+    let mut sources = SourceSelector::default();
     let neighbours = before(&[1, 2, 3, 4, 5, 6]);
     let mut now = begun;
     let mut asked = 0;
     loop {
         match sources.next(now, &neighbours, false, first) {
-            Step::Ask((id, _)) => {
+            Action::Ask((id, _)) => {
                 asked += 1;
                 assert!(!sources.on_answer(&id, WAITING, false, now));
             }
-            Step::Wait(pause) => now += pause,
-            Step::Read => break,
-            Step::Help(addr) => {
+            Action::Wait(pause) => now += pause,
+            Action::ReadStore => break,
+            Action::AskForHelp(addr) => {
                 panic!("{addr} is asked for help by a host that doesn't ask the store")
             }
         }
@@ -137,17 +138,17 @@
 #[test]
 fn three_hosts_of_a_domain_ask_a_store_that_is_away() {
     let begun = Instant::now();
-    let mut sources = Sources::default();
+    let mut sources = SourceSelector::default();
     let neighbours = before(&[1, 2, 3]);
     let mut now = begun;
     while now < begun + Duration::from_secs(60) {
         match sources.next(now, &neighbours, false, first) {
-            Step::Ask((id, _)) => assert!(!sources.on_answer(&id, TRYING, false, now)),
-            Step::Wait(pause) => now += pause.max(Duration::from_millis(1)),
+            Action::Ask((id, _)) => assert!(!sources.on_answer(&id, TRYING, false, now)),
+            Action::Wait(pause) => now += pause.max(Duration::from_millis(1)),
             step => panic!("{step:?} after {:?}", now - begun),
         }
     }
-    let Step::Ask((id, _)) = sources.next(now, &neighbours, false, first) else { return };
+    let Action::Ask((id, _)) = sources.next(now, &neighbours, false, first) else { return };
     assert!(sources.on_answer(&id, fresh(0), false, now), "the store is back");
 }
 
@@ -155,27 +156,27 @@
 #[test]
 fn a_host_that_is_about_to_start_is_asked_again() {
     let now = Instant::now();
-    let mut sources = Sources::default();
+    let mut sources = SourceSelector::default();
     let neighbours = before(&[1]);
-    let next = |sources: &mut Sources, now| sources.next(now, &neighbours, false, first);
-    assert_eq!(next(&mut sources, now), Step::Ask(host(1)));
+    let next = |sources: &mut SourceSelector, now| sources.next(now, &neighbours, false, first);
+    assert_eq!(next(&mut sources, now), Action::Ask(host(1)));
     sources.on_no_answer(&host(1).0, NoAnswer::Refused, now);
-    assert!(matches!(next(&mut sources, now), Step::Wait(_)));
+    assert!(matches!(next(&mut sources, now), Action::Wait(_)));
     let later = now + Duration::from_millis(300);
-    assert_eq!(next(&mut sources, later), Step::Ask(host(1)));
+    assert_eq!(next(&mut sources, later), Action::Ask(host(1)));
     sources.on_no_answer(&host(1).0, NoAnswer::Refused, later);
-    assert_eq!(next(&mut sources, later), Step::Read);
+    assert_eq!(next(&mut sources, later), Action::ReadStore);
 }
 
 /// A host that has just started while the store turns it away knows nobody, and asks those that its settings name.
 #[test]
 fn seeds_are_asked_while_nobody_is_known() {
-    let old = LOST_AFTER + Duration::from_millis(1);
-    assert!(asks_seeds(None, Duration::MAX));
-    assert!(asks_seeds(Some(&Neighbours::default()), old));
-    assert!(!asks_seeds(Some(&Neighbours::default()), Duration::ZERO), "the store answers");
+    let old = MAX_STALENESS + Duration::from_millis(1);
+    assert!(should_ask_seeds(None, Duration::MAX));
+    assert!(should_ask_seeds(Some(&Neighbours::default()), old));
+    assert!(!should_ask_seeds(Some(&Neighbours::default()), Duration::ZERO), "the store answers");
     let somebody = Neighbours { far: far([host(7)]), ..Neighbours::default() };
-    assert!(!asks_seeds(Some(&somebody), old));
+    assert!(!should_ask_seeds(Some(&somebody), old));
 }
 
 /// A reader answers all other hosts of its domain. Hosts with most processor come first, and hosts that are alike stand in the order of their
