--- a/crates/jacinthbeam-host/src/process/control/duty.rs
+++ b/crates/jacinthbeam-host/src/process/control/duty.rs
@@ -69,7 +69,7 @@
             Next::Leave => group.leave(&lane).await,
             Next::End => return,
         }
-        if lease.runs_out(group.clock.now()) {
+        if lease.expire(group.clock.now()) {
             tracing::info!(part = "duty", event = "lapsed");
             group.tell(BTreeSet::new());
         }
@@ -84,9 +84,9 @@
 
 impl Group {
     fn due(&self) -> Event {
-        let rests = self.wish.rest_until.get().is_some_and(|until| self.clock.now() < until);
-        let rests = rests || self.wish.stands_by.get();
-        Event::Due { rests, leaves: self.wish.leave.get() }
+        let paused = self.wish.rest_until.get().is_some_and(|until| self.clock.now() < until);
+        let paused = paused || self.wish.stands_by.get();
+        Event::Due { paused, leaving: self.wish.leave.get() }
     }
 
     /// Joins or stays. Returns the generation, if the store answered.
--- a/crates/jacinthbeam-host/src/process/control/gates.rs
+++ b/crates/jacinthbeam-host/src/process/control/gates.rs
@@ -40,7 +40,7 @@
                 self.step(&service, Event::Stopped { leader, epoch, others_left });
             }
             Message::Gates { gates, .. } => {
-                self.standby.on_word(self.clock.now());
+                self.standby.on_grantor_heartbeat(self.clock.now());
                 self.take_gates(gates);
             }
         }
--- a/crates/jacinthbeam-host/src/process/membership/lease.rs
+++ b/crates/jacinthbeam-host/src/process/membership/lease.rs
@@ -23,7 +23,7 @@
     }
 
     /// Whether the lease has run out since the last call. Told once.
-    pub fn runs_out(&mut self, now: Instant) -> bool {
+    pub fn expire(&mut self, now: Instant) -> bool {
         self.until.take_if(|until| now >= *until).is_some()
     }
 }
--- a/crates/jacinthbeam-host/src/process/membership/machine.rs
+++ b/crates/jacinthbeam-host/src/process/membership/machine.rs
@@ -74,11 +74,11 @@
     #[state]
     fn resting(&mut self, event: &Event) -> Outcome<State> {
         match event {
-            Event::Due { leaves: true, .. } => {
+            Event::Due { leaving: true, .. } => {
                 self.next = Next::End;
                 Transition(State::left())
             }
-            Event::Due { rests: true, .. } => {
+            Event::Due { paused: true, .. } => {
                 self.next = Next::Nothing;
                 Handled
             }
@@ -101,11 +101,11 @@
     #[superstate]
     fn taking_part(&mut self, event: &Event) -> Outcome<State> {
         match event {
-            Event::Due { leaves: true, .. } => {
+            Event::Due { leaving: true, .. } => {
                 self.say_leave();
                 Transition(State::left())
             }
-            Event::Due { rests: true, .. } => {
+            Event::Due { paused: true, .. } => {
                 self.say_leave();
                 Transition(State::resting())
             }
--- a/crates/jacinthbeam-host/src/process/membership/mod.rs
+++ b/crates/jacinthbeam-host/src/process/membership/mod.rs
@@ -21,9 +21,9 @@
     /// It is time for the next word to the store.
     Due {
         /// The host takes no duty for a while.
-        rests: bool,
+        paused: bool,
         /// The host takes no duty any more.
-        leaves: bool,
+        leaving: bool,
     },
     /// The store answered a join, with the group's generation.
     Joined(u64),
--- a/crates/jacinthbeam-host/src/process/membership/standby.rs
+++ b/crates/jacinthbeam-host/src/process/membership/standby.rs
@@ -39,7 +39,7 @@
     }
 
     /// Another host has said that it grants.
-    pub fn on_word(&mut self, now: Instant) {
+    pub fn on_grantor_heartbeat(&mut self, now: Instant) {
         self.word = Some(now);
     }
 
--- a/crates/jacinthbeam-host/tests/membership.rs
+++ b/crates/jacinthbeam-host/tests/membership.rs
@@ -6,9 +6,9 @@
     DutyLease, Event, Membership, Next, Notice, lease::LEASE,
 };
 
-const DUE: Event = Event::Due { rests: false, leaves: false };
-const RESTS: Event = Event::Due { rests: true, leaves: false };
-const LEAVES: Event = Event::Due { rests: false, leaves: true };
+const DUE: Event = Event::Due { paused: false, leaving: false };
+const PAUSED: Event = Event::Due { paused: true, leaving: false };
+const LEAVING: Event = Event::Due { paused: false, leaving: true };
 
 fn after(events: &[Event]) -> Membership {
     let mut membership = Membership::default();
@@ -49,11 +49,11 @@
 /// store might count it as having held them all the time.
 #[test]
 fn a_host_that_rests_leaves_and_joins_anew() {
-    let resting = [DUE, Event::Joined(7), RESTS];
+    let resting = [DUE, Event::Joined(7), PAUSED];
     assert_eq!(next(&resting), Next::Leave);
-    assert_eq!(next(&[&resting[..], &[RESTS]].concat()), Next::Nothing);
-    assert_eq!(next(&[&resting[..], &[RESTS, DUE]].concat()), Next::Join(0));
-    assert_eq!(next(&[&resting[..], &[LEAVES]].concat()), Next::End);
+    assert_eq!(next(&[&resting[..], &[PAUSED]].concat()), Next::Nothing);
+    assert_eq!(next(&[&resting[..], &[PAUSED, DUE]].concat()), Next::Join(0));
+    assert_eq!(next(&[&resting[..], &[LEAVING]].concat()), Next::End);
 }
 
 /// A process stops while its first join has no answer. The join may be in force, and the duties with a host that is gone: it says
@@ -61,8 +61,8 @@
 #[test]
 fn a_host_that_stops_says_so_in_any_state() {
     for events in [&[DUE][..], &[DUE, Event::Failed], &[DUE, Event::Joined(7)]] {
-        assert_eq!(next(&[events, &[LEAVES]].concat()), Next::Leave);
-        assert_eq!(next(&[events, &[LEAVES, DUE]].concat()), Next::End);
+        assert_eq!(next(&[events, &[LEAVING]].concat()), Next::Leave);
+        assert_eq!(next(&[events, &[LEAVING, DUE]].concat()), Next::End);
     }
 }
 
@@ -74,11 +74,11 @@
 fn a_duty_ends_with_its_lease() {
     let begun = Instant::now();
     let mut lease = DutyLease::default();
-    assert!(!lease.runs_out(begun), "there is nothing to lose");
+    assert!(!lease.expire(begun), "there is nothing to lose");
     lease.renew(begun);
-    assert!(!lease.runs_out(begun + LEASE - Duration::from_millis(1)));
-    assert!(lease.runs_out(begun + LEASE));
-    assert!(!lease.runs_out(begun + 2 * LEASE), "it is told twice");
+    assert!(!lease.expire(begun + LEASE - Duration::from_millis(1)));
+    assert!(lease.expire(begun + LEASE));
+    assert!(!lease.expire(begun + 2 * LEASE), "it is told twice");
     lease.renew(begun + 3 * LEASE);
-    assert!(!lease.runs_out(begun + 3 * LEASE) && lease.runs_out(begun + 4 * LEASE));
+    assert!(!lease.expire(begun + 3 * LEASE) && lease.expire(begun + 4 * LEASE));
 }
--- a/crates/jacinthbeam-host/tests/standby.rs
+++ b/crates/jacinthbeam-host/tests/standby.rs
@@ -69,11 +69,11 @@
     let fleet = fleet(4, &[(2, LARGE), (19, SMALL)]);
     let mut standby = Standby::new(begun);
     let word = begun + Duration::from_secs(20);
-    standby.on_word(word);
+    standby.on_grantor_heartbeat(word);
     assert!(stands_by(&standby, word + Duration::from_secs(7), SMALL, &fleet));
     let late = word + Duration::from_secs(9);
     assert!(!stands_by(&standby, late, SMALL, &fleet));
-    standby.on_word(late);
+    standby.on_grantor_heartbeat(late);
     assert!(stands_by(&standby, late, SMALL, &fleet));
 }
 
