--- a/crates/jacinthbeam-host/src/process/control/follow.rs
+++ b/crates/jacinthbeam-host/src/process/control/follow.rs
@@ -14,7 +14,7 @@
 use tokio::sync::watch;
 
 use super::input::{Input, Tx};
-use crate::process::reach::Reach;
+use crate::process::reach::StoreReachability;
 
 /// Longest wait of a read for the next host: two calls a minute, and nothing depends on hearing of one at once.
 pub(super) const HOSTS_WAIT: Duration = Duration::from_secs(25);
@@ -79,7 +79,7 @@
 /// Follows a partition for ever. `input` makes an input of what was read.
 pub(super) async fn follow(
     store: Client,
-    reach: Rc<Reach>,
+    reach: Rc<StoreReachability>,
     mut followed: Followed,
     clock: Arc<dyn Clock>,
     tx: Tx,
@@ -98,7 +98,7 @@
                 return;
             }
         }
-        let turn = reach.turn().await;
+        let turn = reach.probe_turn().await;
         // A read that asks whether the store is back waits for nothing else.
         let wait = if turn.is_some() { Duration::ZERO } else { followed.wait };
         let asked = clock.now();
--- a/crates/jacinthbeam-host/src/process/control/input.rs
+++ b/crates/jacinthbeam-host/src/process/control/input.rs
@@ -10,7 +10,7 @@
 
 use super::ask::Topic;
 use crate::process::{
-    inbox::{Kind, Waiting},
+    inbox::{InputKind, Waiting},
     peers::{
         load::Message,
         update::{StateUpdate, UpdateRequest},
@@ -37,15 +37,15 @@
 
 impl Input {
     /// What it is to the order in which inputs are taken.
-    pub(super) fn kind(&self) -> Kind {
+    pub(super) fn kind(&self) -> InputKind {
         match self {
             Self::Operator(..)
             | Self::Servers(..)
             | Self::News { .. }
             | Self::Question { .. }
-            | Self::Answer { .. } => Kind::News,
-            Self::Tick => Kind::Tick,
-            Self::Datagram(Message::Load { .. }) => Kind::Report,
+            | Self::Answer { .. } => InputKind::StoreState,
+            Self::Tick => InputKind::Tick,
+            Self::Datagram(Message::Load { .. }) => InputKind::Report,
             Self::Hosts(_)
             | Self::Maps { .. }
             | Self::Duties(_)
@@ -54,7 +54,7 @@
             | Self::Datagram(_)
             | Self::Crash(_)
             | Self::Dump(_)
-            | Self::Stop => Kind::Other,
+            | Self::Stop => InputKind::Other,
         }
     }
 }
--- a/crates/jacinthbeam-host/src/process/control/mod.rs
+++ b/crates/jacinthbeam-host/src/process/control/mod.rs
@@ -144,14 +144,14 @@
 
 /// Lets an input wait for its turn.
 fn take_in(control: &mut Control, inbox: &mut Inbox<Input>, input: Waiting<Input>) {
-    if inbox.add(input) {
+    if inbox.push(input) {
         control.counters.reports_left_out.add(1, &[]);
     }
 }
 
 /// Takes the inputs that are next.
 fn take(control: &mut Control, inbox: &mut Inbox<Input>) {
-    for Waiting { input, since } in inbox.take() {
+    for Waiting { input, since } in inbox.next_batch() {
         control.note_wait(&input, since);
         control.on(input);
     }
--- a/crates/jacinthbeam-host/src/process/control/state.rs
+++ b/crates/jacinthbeam-host/src/process/control/state.rs
@@ -32,11 +32,11 @@
 use crate::{
     Settings, Wire,
     process::{
-        inbox::Kind,
+        inbox::InputKind,
         membership::Standby,
         metrics::Counters,
         peers::{HostEntry, order::Neighbours},
-        reach::Reach,
+        reach::StoreReachability,
         replica::{Changed, StoreReplica},
         traffic::Gates,
         usage,
@@ -105,7 +105,7 @@
     /// When the word came that the process is about to stop.
     pub(super) stopping: Option<Instant>,
     /// Whether the store answers this host.
-    pub(super) reach: Rc<Reach>,
+    pub(super) reach: Rc<StoreReachability>,
     /// Records of the store that can't be read.
     pub(super) unreadable: Unreadable,
 }
@@ -298,7 +298,7 @@
     /// Notes how long an input has waited for this thread.
     pub(super) fn note_wait(&self, input: &Input, since: Instant) {
         let waited = self.clock.now().saturating_duration_since(since);
-        self.counters.on_control_wait(input.kind() == Kind::News, waited);
+        self.counters.on_control_wait(input.kind() == InputKind::StoreState, waited);
     }
 }
 
--- a/crates/jacinthbeam-host/src/process/inbox.rs
+++ b/crates/jacinthbeam-host/src/process/inbox.rs
@@ -12,9 +12,9 @@
 
 /// What an input is to the order in which inputs are taken.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kind {
+pub enum InputKind {
     /// It tells what the store holds, or is about telling others. Everything else is decided by it.
-    News,
+    StoreState,
     /// It says that time has passed; a later one says no less.
     Tick,
     /// It tells of the load that somebody saw lately, and will again.
@@ -38,7 +38,7 @@
 /// the keys that it grants: with three seconds of that piled up, a host went by an old configuration for 2.9 s
 /// (`tests/inbox.rs`, without network), and would refuse callers whose routes are in force. Since there are a few such inputs a second, the rest is not held up by them.
 pub struct Inbox<I> {
-    kind: fn(&I) -> Kind,
+    kind: fn(&I) -> InputKind,
     news: VecDeque<Waiting<I>>,
     reports: VecDeque<Waiting<I>>,
     /// All others, with one tick at the most.
@@ -58,7 +58,7 @@
 
 impl<I> Inbox<I> {
     /// An empty one. `kind` tells inputs apart.
-    pub fn new(kind: fn(&I) -> Kind) -> Self {
+    pub fn new(kind: fn(&I) -> InputKind) -> Self {
         let [news, reports, others] = [(); 3].map(|()| VecDeque::new());
         Self { kind, news, reports, others, tick_waits: false }
     }
@@ -69,24 +69,24 @@
     }
 
     /// Takes an input in. Returns whether one was left out for it: the oldest report, if there are too many.
-    pub fn add(&mut self, waiting: Waiting<I>) -> bool {
+    pub fn push(&mut self, waiting: Waiting<I>) -> bool {
         match (self.kind)(&waiting.input) {
-            Kind::News => self.news.push_back(waiting),
-            Kind::Report => {
+            InputKind::StoreState => self.news.push_back(waiting),
+            InputKind::Report => {
                 self.reports.push_back(waiting);
                 if self.reports.len() > MOST_REPORTS {
                     return self.reports.pop_front().is_some();
                 }
             }
-            Kind::Tick if std::mem::replace(&mut self.tick_waits, true) => {}
-            Kind::Tick | Kind::Other => self.others.push_back(waiting),
+            InputKind::Tick if std::mem::replace(&mut self.tick_waits, true) => {}
+            InputKind::Tick | InputKind::Other => self.others.push_back(waiting),
         }
         false
     }
 
     /// What to do next, in order, before other tasks get their turn and what came meanwhile is looked at: all that the store says, and
     /// some of the rest, half of it reports if so many wait.
-    pub fn take(&mut self) -> Vec<Waiting<I>> {
+    pub fn next_batch(&mut self) -> Vec<Waiting<I>> {
         let reports =
             self.reports.len().min((ROUND / 2).max(ROUND.saturating_sub(self.others.len())));
         let others = self.others.len().min(ROUND - reports);
@@ -97,7 +97,7 @@
             .chain(self.others.drain(..others))
             .chain(self.reports.drain(..reports))
             .collect();
-        if taken.iter().any(|waiting| kind(&waiting.input) == Kind::Tick) {
+        if taken.iter().any(|waiting| kind(&waiting.input) == InputKind::Tick) {
             self.tick_waits = false;
         }
         taken
--- a/crates/jacinthbeam-host/tests/inbox.rs
+++ b/crates/jacinthbeam-host/tests/inbox.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use jacinthbeam_host::process::inbox::{Inbox, Kind, Waiting};
+use jacinthbeam_host::process::inbox::{Inbox, InputKind, Waiting};
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Input {
@@ -12,12 +12,12 @@
     Tick,
 }
 
-fn kind(input: &Input) -> Kind {
+fn kind(input: &Input) -> InputKind {
     match input {
-        Input::Config => Kind::News,
-        Input::Answer(_) => Kind::Other,
-        Input::Load(_) => Kind::Report,
-        Input::Tick => Kind::Tick,
+        Input::Config => InputKind::StoreState,
+        Input::Answer(_) => InputKind::Other,
+        Input::Load(_) => InputKind::Report,
+        Input::Tick => InputKind::Tick,
     }
 }
 
@@ -28,7 +28,7 @@
 const TAKES: Duration = Duration::from_micros(1430);
 
 fn add(inbox: &mut Inbox<Input>, input: Input, since: Instant) {
-    inbox.add(Waiting { input, since });
+    inbox.push(Waiting { input, since });
 }
 
 /// Callers are refused with 404 since their route is not known, 2.5 s after the operator was told that it is in force, at one host.
@@ -46,7 +46,7 @@
 
     let mut now = begun;
     while !inbox.is_empty() {
-        for waiting in inbox.take() {
+        for waiting in inbox.next_batch() {
             if waiting.input == Input::Config {
                 let waited = now - begun;
                 assert!(waited < Duration::from_millis(100), "the configuration waited {waited:?}");
@@ -65,7 +65,7 @@
     let begun = Instant::now();
     let mut inbox = Inbox::new(kind);
     (0..3 * A_SECOND).for_each(|n| add(&mut inbox, Input::Answer(n), begun));
-    let round = inbox.take().len() as u32 * TAKES;
+    let round = inbox.next_batch().len() as u32 * TAKES;
     assert!(round < Duration::from_millis(100), "a round takes {round:?}");
 }
 
@@ -78,7 +78,7 @@
         add(&mut inbox, Input::Tick, begun);
         add(&mut inbox, Input::Answer(n), begun);
     }
-    let taken: Vec<Input> = inbox.take().into_iter().map(|waiting| waiting.input).collect();
+    let taken: Vec<Input> = inbox.next_batch().into_iter().map(|waiting| waiting.input).collect();
     assert_eq!(taken.iter().filter(|input| **input == Input::Tick).count(), 1);
     assert_eq!(taken.len(), 4);
 }
@@ -90,12 +90,12 @@
     let begun = Instant::now();
     let mut inbox = Inbox::new(kind);
     let left_out =
-        (0..2000).filter(|n| inbox.add(Waiting { input: Input::Load(*n), since: begun }));
+        (0..2000).filter(|n| inbox.push(Waiting { input: Input::Load(*n), since: begun }));
     let left_out = left_out.count();
     (0..100).for_each(|n| add(&mut inbox, Input::Answer(n), begun));
     let mut taken = Vec::new();
     while !inbox.is_empty() {
-        taken.extend(inbox.take().into_iter().map(|waiting| waiting.input));
+        taken.extend(inbox.next_batch().into_iter().map(|waiting| waiting.input));
     }
     let loads = taken.iter().filter(|input| matches!(input, Input::Load(_)));
     assert_eq!(loads.clone().count() + left_out, 2000);
