--- a/crates/jacinthbeam-host/src/process/control/calls.rs
+++ b/crates/jacinthbeam-host/src/process/control/calls.rs
@@ -25,28 +25,28 @@
 
 /// Time for the answer to a grant. A server answers in a millisecond or two, and a connection that loses a packet in half a
 /// second; while it is waited for, nothing else is granted to the server.
-const GRANT_WITHIN: Duration = Duration::from_millis(600);
+const GRANT_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Time for the answer to a release, which comes when the running requests of the keys have ended. After it the keys wait for
 /// the end of the hold, which is about as long.
-const RELEASE_WITHIN: Duration = Duration::from_millis(4000);
+const RELEASE_TIMEOUT: Duration = Duration::from_millis(4000);
 
 /// Longest body of an answer.
-const MAX_ANSWER: usize = 64 << 10;
+const MAX_RESPONSE_BYTES: usize = 64 << 10;
 
 /// The epoch that this process leads in; calls of an earlier one are not sent any more.
-pub(super) type Leads = Rc<Cell<Option<Epoch>>>;
+pub(super) type LeadEpoch = Rc<Cell<Option<Epoch>>>;
 
 /// The leadership that a call belongs to.
 #[derive(Debug, Clone)]
 pub(super) struct Leadership {
     pub(super) epoch: Epoch,
-    pub(super) leads: Leads,
+    pub(super) leads: LeadEpoch,
 }
 
 impl Leadership {
     /// Whether this process still leads in the epoch of the call.
-    fn lasts(&self) -> bool {
+    fn is_current(&self) -> bool {
         self.leads.get() == Some(self.epoch)
     }
 }
@@ -54,14 +54,14 @@
 /// Connections for grants, one to each server. They are reset when a call is given up: a grant that would arrive after that
 /// could outlast the wait for its end.
 #[derive(Debug)]
-pub(super) struct Caller {
+pub(super) struct GrantClient {
     wire: Wire,
     clock: Arc<dyn Clock>,
     tx: Tx,
-    lines: BTreeMap<SocketAddr, Rc<GrantLine>>,
+    lines: BTreeMap<SocketAddr, Rc<GrantConnection>>,
 }
 
-impl Caller {
+impl GrantClient {
     pub(super) fn new(wire: Wire, clock: Arc<dyn Clock>, tx: Tx) -> Self {
         Self { wire, clock, tx, lines: BTreeMap::new() }
     }
@@ -82,7 +82,7 @@
         until: Instant,
         leadership: Leadership,
     ) {
-        let new = || Rc::new(GrantLine::new(to.addr));
+        let new = || Rc::new(GrantConnection::new(to.addr));
         let line = self.lines.entry(to.addr).or_insert_with(new).clone();
         let (wire, clock, tx) = (self.wire, self.clock.clone(), self.tx.clone());
         spawn_local(async move {
@@ -95,7 +95,7 @@
                     break;
                 }
                 // UpdateRequest right before each call: this process may have been suspended, or replaced, since it was ordered.
-                if clock.now() >= until || !leadership.lasts() {
+                if clock.now() >= until || !leadership.is_current() {
                     round.outcome = Outcome::NotSent;
                     break;
                 }
@@ -127,12 +127,12 @@
     ) {
         let (wire, tx) = (self.wire, self.tx.clone());
         spawn_local(async move {
-            if !leadership.lasts() {
+            if !leadership.is_current() {
                 return;
             }
-            let line = Line::new(from.addr, MAX_ANSWER);
+            let line = Line::new(from.addr, MAX_RESPONSE_BYTES);
             let req = (wire.release)(&from, range, token);
-            let answer = line.exchange(req, RELEASE_WITHIN).await;
+            let answer = line.exchange(req, RELEASE_TIMEOUT).await;
             let handover = match answer.map(|res| (wire.released)(&from, &res)) {
                 Ok(Released::Done(handover)) => Ok(handover),
                 // The life that held the keys has ended.
@@ -152,19 +152,19 @@
 ///
 /// The time names the connection: grants go over one that was open early enough, and a grant and its renewals over the same one.
 #[derive(Debug)]
-struct GrantLine {
+struct GrantConnection {
     line: Line,
     opened: Cell<Option<Instant>>,
 }
 
-impl GrantLine {
+impl GrantConnection {
     fn new(addr: SocketAddr) -> Self {
-        Self { line: Line::new(addr, MAX_ANSWER).resetting(), opened: Cell::new(None) }
+        Self { line: Line::new(addr, MAX_RESPONSE_BYTES).resetting(), opened: Cell::new(None) }
     }
 
     /// Opens a connection if none is open. Returns when the present one was known to be open.
     async fn open(&self, clock: &dyn Clock) -> Result<Instant, line::Error> {
-        let is_new = self.line.connect_if_closed(GRANT_WITHIN).await?;
+        let is_new = self.line.connect_if_closed(GRANT_TIMEOUT).await?;
         let at = self.opened.get().filter(|_| !is_new).unwrap_or_else(|| clock.now());
         self.opened.set(Some(at));
         Ok(at)
@@ -180,9 +180,9 @@
     silent: u32,
 }
 
-/// Calls without an answer after which a round ends, if the server answered others. Each takes [`GRANT_WITHIN`], in which the
+/// Calls without an answer after which a round ends, if the server answered others. Each takes [`GRANT_TIMEOUT`], in which the
 /// other keys come closer to the end of their hold.
-const MOST_SILENT: u32 = 2;
+const MAX_UNANSWERED: u32 = 2;
 
 impl Round {
     fn new() -> Self {
@@ -198,7 +198,7 @@
     /// Whether further calls are of no use: the server is not there, or does not answer now.
     fn is_over(&self) -> bool {
         let answers = !self.confirmed.is_empty() || !self.refused.is_empty();
-        let most = if answers { MOST_SILENT } else { 1 };
+        let most = if answers { MAX_UNANSWERED } else { 1 };
         let is_other = matches!(self.outcome, Outcome::Ended | Outcome::Opened(_));
         is_other || self.silent >= most
     }
@@ -207,7 +207,7 @@
     async fn is_open(
         &mut self,
         clock: &dyn Clock,
-        line: &GrantLine,
+        line: &GrantConnection,
         over: Option<Instant>,
     ) -> bool {
         match line.open(clock).await {
@@ -226,11 +226,11 @@
         &mut self,
         wire: Wire,
         clock: &dyn Clock,
-        line: &GrantLine,
+        line: &GrantConnection,
         to: &Owner,
         call: &Call,
     ) {
-        let answer = line.line.exchange_kept((wire.grant)(to, call, HOLD), GRANT_WITHIN).await;
+        let answer = line.line.exchange_kept((wire.grant)(to, call, HOLD), GRANT_TIMEOUT).await;
         let granted = match answer {
             Ok(res) => (wire.granted)(to, &res),
             Err(line::Error::NotSent(_)) => {
--- a/crates/jacinthbeam-host/src/process/control/heard.rs
+++ b/crates/jacinthbeam-host/src/process/control/contact.rs
@@ -6,12 +6,12 @@
     time::{Duration, Instant},
 };
 
-use super::follow::{MAPS_LOST_AFTER, OPERATOR_LOST_AFTER};
+use super::follow::{MAPS_MAX_STALENESS, OPERATOR_MAX_STALENESS};
 use crate::process::peers::source::MAX_STALENESS;
 
 /// What the store, or hosts that follow it, let this host hear.
 #[derive(Debug, Default)]
-pub(super) struct Heard {
+pub(super) struct StoreContact {
     /// When the last read of the servers' entries was sent that the store answered.
     servers: Cell<Option<Instant>>,
     /// When the store last answered a read of the operator's records.
@@ -22,7 +22,7 @@
     others: Cell<Option<(Instant, u8)>>,
 }
 
-impl Heard {
+impl StoreContact {
     pub(super) fn on_servers(&self, asked: Instant) {
         self.servers.set(self.servers.get().max(Some(asked)));
     }
@@ -37,7 +37,7 @@
     }
 
     /// News of another host, which were true at `at` and had passed `steps` hosts before it.
-    pub(super) fn on_news(&self, at: Option<Instant>, steps: u8) {
+    pub(super) fn on_update(&self, at: Option<Instant>, steps: u8) {
         let Some(at) = at else { return };
         if self.others.get().is_none_or(|(known, _)| known < at) {
             self.others.set(Some((at, steps.saturating_add(1))));
@@ -52,9 +52,9 @@
     /// Since when there may be something that the store didn't tell this host itself, of the servers, the operator or the owners. Reads for
     /// the operator and for maps wait, so that their answers may be older.
     fn by_itself(&self) -> Option<Instant> {
-        let operator = self.operator.get()? + (OPERATOR_LOST_AFTER - MAX_STALENESS);
+        let operator = self.operator.get()? + (OPERATOR_MAX_STALENESS - MAX_STALENESS);
         let maps = self.maps.borrow();
-        let maps = maps.values().map(|at| *at + (MAPS_LOST_AFTER - MAX_STALENESS)).min();
+        let maps = maps.values().map(|at| *at + (MAPS_MAX_STALENESS - MAX_STALENESS)).min();
         let heard = self.servers.get()?.min(operator);
         Some(maps.map_or(heard, |maps| maps.min(heard)))
     }
--- a/crates/jacinthbeam-host/src/process/control/crashes.rs
+++ b/crates/jacinthbeam-host/src/process/control/crashes.rs
@@ -10,25 +10,25 @@
 use jacinthbeam_store::{Backoff, Call, Item, Lane, Partition};
 use tokio::sync::watch;
 
-use super::{across, ask::Topic, feed, state::Control};
+use super::{cross_domain, feed, state::Control, update_client::Topic};
 use crate::process::peers::update::{StateUpdate, UpdateRequest};
 
 /// Least pause between two times that other hosts are told of facts. When a failure domain loses power hundreds of them come
 /// within a second, and each telling is an answer to every host that follows this one.
-const TELL_EVERY: Duration = Duration::from_millis(50);
+const PUBLISH_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Keys of the list of hosts that begin so hold what a host knows of crashes. No host is named so.
 pub(super) const EVIDENCE_PREFIX: &str = "crashes/";
 
 /// Least pause between two records of this host.
-const RECORD_EVERY: Duration = Duration::from_millis(200);
+const RECORD_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Pauses after a record that was not kept.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-const LONGEST_PAUSE: Duration = Duration::from_secs(2);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
 /// Pause between two looks for what has stood for long enough.
-const FORGET_EVERY: Duration = Duration::from_secs(1);
+const EXPIRE_INTERVAL: Duration = Duration::from_secs(1);
 
 impl Control {
     /// Takes what this host's own sends have shown.
@@ -62,13 +62,13 @@
     fn record_evidence(&mut self, now: Instant) {
         // Until the record of an earlier life of this host was read, another one would replace it unread.
         let may_write = self.has_read_hosts && *self.direct.borrow();
-        let is_due = self.crashes_told.recorded.is_none_or(|at| now >= at + RECORD_EVERY);
+        let is_due = self.crash_sync.recorded.is_none_or(|at| now >= at + RECORD_INTERVAL);
         if !may_write || !is_due {
             return;
         }
         if let Some(evidence) = self.crashes.take_record(now, SystemTime::now()) {
             tracing::info!(part = "crash", event = "record", facts = %evidence.facts.len());
-            self.crashes_told.recorded = Some(now);
+            self.crash_sync.recorded = Some(now);
             self.evidence.send_replace(evidence.to_bytes().into());
         }
     }
@@ -77,10 +77,12 @@
     pub(super) fn question(&self, of: SocketAddr, topic: Topic) -> UpdateRequest {
         let now = self.clock.now();
         let mut asked = match topic {
-            Topic::All => self.known.update_request(feed::WAIT),
-            Topic::Crashes => {
-                UpdateRequest { only_crashes: true, wait: across::WAIT, ..UpdateRequest::default() }
-            }
+            Topic::All => self.known.update_request(feed::MAX_WAIT),
+            Topic::Crashes => UpdateRequest {
+                only_crashes: true,
+                wait: cross_domain::MAX_WAIT,
+                ..UpdateRequest::default()
+            },
         };
         let crashes = self.crashes.question(of, now);
         if crashes.end < self.crashes.end() {
@@ -95,31 +97,31 @@
         let now = self.clock.now();
         let news = match asked.only_crashes {
             true => StateUpdate::default(),
-            false => self.known.update_for(asked, self.heard.age(now), now),
+            false => self.known.update_for(asked, self.contact.age(now), now),
         };
         let crashes = asked.crashes.as_ref().map(|question| self.crashes.answer(question, now));
-        let (steps, asks_store) = (self.heard.steps(now), *self.direct.borrow());
+        let (steps, asks_store) = (self.contact.steps(now), *self.direct.borrow());
         StateUpdate { steps, asks_store, crashes, ..news }
     }
 
     /// Takes what the host at `of` knew of servers that ended.
-    pub(super) fn on_crashes(&mut self, of: SocketAddr, answer: exchange::Answer) {
+    pub(super) fn on_peer_crashes(&mut self, of: SocketAddr, answer: exchange::Answer) {
         let now = self.clock.now();
         self.crashes.on_answer(of, answer, now);
     }
 
     /// Makes new facts act, here and at the hosts that follow this one.
-    pub(super) fn tell_crashes(&mut self) {
+    pub(super) fn publish_crashes(&mut self) {
         let now = self.clock.now();
         self.record_evidence(now);
-        let told = self.crashes_told;
-        let is_due = told.at.is_none_or(|at| now >= at + TELL_EVERY);
+        let told = self.crash_sync;
+        let is_due = told.at.is_none_or(|at| now >= at + PUBLISH_INTERVAL);
         let is_new = told.end != self.crashes.end();
-        if !is_due || !(is_new || self.forget_crashes(now)) {
+        if !is_due || !(is_new || self.expire_crashes(now)) {
             return;
         }
-        self.crashes_told.at = Some(now);
-        self.crashes_told.end = self.crashes.end();
+        self.crash_sync.at = Some(now);
+        self.crash_sync.end = self.crashes.end();
         let suspects = self.crashes.suspects();
         let refused = suspects.iter().filter(|(_, suspect)| suspect.is_proven());
         self.counters.on_suspects(suspects.iter().count(), refused.count());
@@ -131,11 +133,11 @@
         });
     }
 
-    fn forget_crashes(&mut self, now: Instant) -> bool {
-        if self.crashes_told.forgot.is_some_and(|at| now < at + FORGET_EVERY) {
+    fn expire_crashes(&mut self, now: Instant) -> bool {
+        if self.crash_sync.forgot.is_some_and(|at| now < at + EXPIRE_INTERVAL) {
             return false;
         }
-        self.crashes_told.forgot = Some(now);
+        self.crash_sync.forgot = Some(now);
         self.crashes.forget(now)
     }
 }
@@ -151,7 +153,7 @@
 impl Recorder {
     /// Writes each change until the store has taken it, or a newer one.
     pub(super) async fn run(mut self) {
-        let mut backoff = Backoff::new(FIRST_PAUSE, LONGEST_PAUSE);
+        let mut backoff = Backoff::new(INITIAL_BACKOFF, MAX_BACKOFF);
         // An error is the end of the process.
         while self.evidence.changed().await.is_ok() {
             loop {
--- a/crates/jacinthbeam-host/src/process/control/across.rs
+++ b/crates/jacinthbeam-host/src/process/control/cross_domain.rs
@@ -9,7 +9,7 @@
 use jacinthbeam_types::prelude::*;
 use tokio::{sync::watch, task::spawn_local};
 
-use super::ask::{Asker, Topic};
+use super::update_client::{Topic, UpdateClient};
 use crate::process::peers::{
     link::Link,
     order::{Neighbour, Neighbours},
@@ -17,15 +17,15 @@
 
 /// Longest wait for facts at a host of another domain. A connection that a cut has silenced is given up so long after the last answer; with the
 /// time to connect, what was seen on either side is known on both within three seconds of the end of a cut.
-pub(super) const WAIT: Duration = Duration::from_millis(2000);
+pub(super) const MAX_WAIT: Duration = Duration::from_millis(2000);
 
 /// Pause before another host of a domain is asked, if one gave no answer.
-const NEXT_IN: Duration = Duration::from_millis(300);
+const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
 /// What the task needs of the control thread.
 #[derive(Debug, Clone)]
-pub(super) struct Across {
-    pub(super) asker: Asker,
+pub(super) struct CrossDomain {
+    pub(super) client: UpdateClient,
     /// `None` until the list of hosts is known.
     pub(super) neighbours: watch::Receiver<Option<Neighbours>>,
     /// Whether this host reads the store itself.
@@ -33,7 +33,7 @@
 }
 
 /// Starts to exchange facts with each failure domain that becomes known. Runs for ever.
-pub(super) async fn run(mut cx: Across) {
+pub(super) async fn run(mut cx: CrossDomain) {
     let mut domains = BTreeSet::new();
     loop {
         let known = cx.neighbours.borrow_and_update().clone().unwrap_or_default();
@@ -49,7 +49,7 @@
 }
 
 /// Asks the hosts of one domain, the first of them that answers, for as long as this host reads the store.
-async fn exchange(cx: Across, domain: FailureDomain) {
+async fn exchange(cx: CrossDomain, domain: FailureDomain) {
     let mut direct = cx.direct.subscribe();
     for turn in 0.. {
         if direct.wait_for(|direct| *direct).await.is_err() {
@@ -58,12 +58,12 @@
         if let Some(host) = pick(&cx, &domain, turn) {
             ask_on(&cx, &host).await;
         }
-        tokio::time::sleep(NEXT_IN).await;
+        tokio::time::sleep(RETRY_PAUSE).await;
     }
 }
 
 /// The hosts of a domain take their turns, the first of them every other time.
-fn pick(cx: &Across, domain: &FailureDomain, turn: usize) -> Option<Neighbour> {
+fn pick(cx: &CrossDomain, domain: &FailureDomain, turn: usize) -> Option<Neighbour> {
     let neighbours = cx.neighbours.borrow();
     let hosts = neighbours.as_ref()?.far.get(domain)?;
     let others = hosts.len().saturating_sub(1).max(1);
@@ -71,13 +71,13 @@
     hosts.get(at).or(hosts.first()).cloned()
 }
 
-async fn ask_on(cx: &Across, (host, addr): &Neighbour) {
+async fn ask_on(cx: &CrossDomain, (host, addr): &Neighbour) {
     let why = match Link::open(*addr).await {
         Ok(mut link) => loop {
             if !*cx.direct.borrow() {
                 return;
             }
-            if let Err(why) = cx.asker.ask(&mut link, *addr, Topic::Crashes).await {
+            if let Err(why) = cx.client.ask(&mut link, *addr, Topic::Crashes).await {
                 break why;
             }
         },
--- a/crates/jacinthbeam-host/src/process/control/duty.rs
+++ b/crates/jacinthbeam-host/src/process/control/duty.rs
@@ -18,16 +18,16 @@
 use crate::process::membership::{DutyLease, Event, Membership, Next, Notice, lease::LEASE};
 
 /// Pause between two words of a host: three in a lease, so that one lost answer costs nothing.
-const JOIN_EVERY: Duration = Duration::from_millis(500);
+const JOIN_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Name of the group.
 const GROUP: &str = "grantors";
 
 /// What the duty task is told.
 #[derive(Debug, Default)]
-pub(super) struct Wish {
+pub(super) struct DutyRequest {
     /// The host takes no duty until then.
-    pub(super) rest_until: Cell<Option<Instant>>,
+    pub(super) pause_until: Cell<Option<Instant>>,
     /// The host leaves duties to hosts with more processor.
     pub(super) stands_by: Cell<bool>,
     /// The host takes no duty any more.
@@ -42,7 +42,7 @@
     /// Name of this life of the process.
     pub(super) member: String,
     pub(super) clock: Arc<dyn Clock>,
-    pub(super) wish: Rc<Wish>,
+    pub(super) duty_request: Rc<DutyRequest>,
     pub(super) tx: Tx,
 }
 
@@ -78,15 +78,16 @@
             Some(Notice::Regained) => tracing::info!(part = "duty", event = "regained"),
             None => {}
         }
-        tokio::time::sleep(JOIN_EVERY).await;
+        tokio::time::sleep(JOIN_INTERVAL).await;
     }
 }
 
 impl Group {
     fn due(&self) -> Event {
-        let paused = self.wish.rest_until.get().is_some_and(|until| self.clock.now() < until);
-        let paused = paused || self.wish.stands_by.get();
-        Event::Due { paused, leaving: self.wish.leave.get() }
+        let paused =
+            self.duty_request.pause_until.get().is_some_and(|until| self.clock.now() < until);
+        let paused = paused || self.duty_request.stands_by.get();
+        Event::Due { paused, leaving: self.duty_request.leave.get() }
     }
 
     /// Joins or stays. Returns the generation, if the store answered.
@@ -132,10 +133,10 @@
 
 impl Control {
     /// Whether this host takes duties, or leaves them to others, as the hosts and the words of granting hosts say now.
-    pub(super) fn stand_by(&mut self) {
+    pub(super) fn update_standby(&mut self) {
         let fleet = self.known.hosts().map(|(_, entry)| (&entry.domain, entry.processor));
         let stands_by = self.standby.stands_by(self.clock.now(), self.settings.processor, fleet);
-        if self.wish.stands_by.replace(stands_by) != stands_by {
+        if self.duty_request.stands_by.replace(stands_by) != stands_by {
             tracing::info!(part = "duty", event = "stands-by", stands_by = %stands_by, processor = %self.settings.processor);
         }
     }
--- a/crates/jacinthbeam-host/src/process/control/feed.rs
+++ b/crates/jacinthbeam-host/src/process/control/feed.rs
@@ -12,8 +12,8 @@
 use tokio::sync::watch;
 
 use super::{
-    ask::{Asker, LEAST_PAUSE, Topic},
-    heard::Heard,
+    contact::StoreContact,
+    update_client::{MIN_POLL_PAUSE, Topic, UpdateClient},
 };
 use crate::process::peers::{
     link::Link,
@@ -22,25 +22,25 @@
 };
 
 /// Longest wait for news at another host; its answer without news shows that it is there, and how fresh it is.
-pub(super) const WAIT: Duration = Duration::from_millis(700);
+pub(super) const MAX_WAIT: Duration = Duration::from_millis(700);
 
 /// Pause of a host that reads the store itself before it looks again whether another could do it.
-const LOOK_AGAIN: Duration = Duration::from_millis(1000);
+const RECHECK_INTERVAL: Duration = Duration::from_millis(1000);
 
 /// The same while the store gives it no answers.
-const LOOK_AGAIN_LOST: Duration = Duration::from_millis(250);
+const RECHECK_INTERVAL_UNANSWERED: Duration = Duration::from_millis(250);
 
 /// What the task needs of the control thread.
 #[derive(Clone)]
 pub(super) struct Feed {
-    pub(super) asker: Asker,
+    pub(super) client: UpdateClient,
     /// `None` until the list of hosts is known.
     pub(super) neighbours: watch::Receiver<Option<Neighbours>>,
     /// Hosts that are asked while none is known.
     pub(super) seeds: Vec<SocketAddr>,
     /// Whether this host reads the store itself.
     pub(super) direct: Rc<watch::Sender<bool>>,
-    pub(super) heard: Rc<Heard>,
+    pub(super) contact: Rc<StoreContact>,
 }
 
 /// Chooses sources for ever.
@@ -53,7 +53,7 @@
             continue;
         }
         let Some(neighbours) = known else {
-            feed.pause(LOOK_AGAIN).await;
+            feed.pause(RECHECK_INTERVAL).await;
             continue;
         };
         let lost = *feed.direct.borrow() && !feed.reads_store();
@@ -64,11 +64,12 @@
                 if lost {
                     set_direct(&feed, false);
                 }
-                tokio::time::sleep(pause.max(LEAST_PAUSE)).await;
+                tokio::time::sleep(pause.max(MIN_POLL_PAUSE)).await;
             }
             Action::ReadStore => {
                 set_direct(&feed, true);
-                let pause = if feed.reads_store() { LOOK_AGAIN } else { LOOK_AGAIN_LOST };
+                let pause =
+                    if feed.reads_store() { RECHECK_INTERVAL } else { RECHECK_INTERVAL_UNANSWERED };
                 feed.pause(pause).await;
             }
             Action::AskForHelp(addr) => {
@@ -82,16 +83,16 @@
 
 impl Feed {
     fn now(&self) -> Instant {
-        self.asker.clock.now()
+        self.client.clock.now()
     }
 
     /// Whether this host itself reads the store, and is answered.
     fn reads_store(&self) -> bool {
-        *self.direct.borrow() && self.heard.is_answered(self.now())
+        *self.direct.borrow() && self.contact.is_answered(self.now())
     }
 
     fn age(&self) -> Duration {
-        self.heard.age(self.now())
+        self.contact.age(self.now())
     }
 
     /// Asks a host that the settings name, and reads the store as soon as that answers.
@@ -102,7 +103,7 @@
         if let Some(addr) = fastrand::choice(&self.seeds).copied() {
             ask_for_help(self, addr).await;
         }
-        self.pause(LOOK_AGAIN_LOST).await;
+        self.pause(RECHECK_INTERVAL_UNANSWERED).await;
     }
 
     /// Waits, but not on when other hosts become known.
@@ -124,7 +125,7 @@
     let mut follows = false;
     let no_answer = match Link::open(*addr).await {
         Ok(mut link) => loop {
-            match feed.asker.ask(&mut link, *addr, Topic::All).await {
+            match feed.client.ask(&mut link, *addr, Topic::All).await {
                 Ok(answer) => {
                     let (reads, now) = (feed.reads_store(), feed.now());
                     if !sources.on_answer(host, answer, reads, now) {
@@ -163,7 +164,7 @@
     };
     let mut helped = false;
     while !feed.reads_store() {
-        match feed.asker.ask(&mut link, addr, Topic::All).await {
+        match feed.client.ask(&mut link, addr, Topic::All).await {
             Ok(answer) if answer.helps() => {
                 if !std::mem::replace(&mut helped, true) {
                     tracing::info!(part = "feed", event = "helped", asked = %addr, steps = %answer.steps);
--- a/crates/jacinthbeam-host/src/process/control/gates.rs
+++ b/crates/jacinthbeam-host/src/process/control/gates.rs
@@ -13,14 +13,14 @@
 
 /// Pause between two words to all hosts about owners that are asked for too much. What they say rests on reports that come as
 /// often.
-const GATES_EVERY: Duration = Duration::from_millis(250);
+const GATES_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Longest pause between two words of a granting host, also if it has none about owners: they are its sign of life for hosts that leave
 /// the duty to those with more processor.
-const WORD_EVERY: Duration = Duration::from_millis(1000);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1000);
 
 /// Such a word stands for this long, so that a lost one, or two, change nothing.
-const GATES_STAND: Duration = Duration::from_millis(800);
+const GATES_TTL: Duration = Duration::from_millis(800);
 
 impl Control {
     pub(super) fn on_datagram(&mut self, message: Message) {
@@ -41,23 +41,23 @@
             }
             Message::Gates { gates, .. } => {
                 self.standby.on_grantor_heartbeat(self.clock.now());
-                self.take_gates(gates);
+                self.apply_gates(gates);
             }
         }
     }
 
-    fn take_gates(&mut self, gates: BTreeMap<ServerId, Gate>) {
+    fn apply_gates(&mut self, gates: BTreeMap<ServerId, Gate>) {
         if gates.is_empty() {
             return;
         }
-        let until = self.clock.now() + GATES_STAND;
+        let until = self.clock.now() + GATES_TTL;
         self.gates.send_modify(|known| {
             known.extend(gates.into_iter().map(|(owner, gate)| (owner, (until, gate))));
         });
     }
 
     /// What to tell all hosts of a service's owners: nothing unless this host grants its keys.
-    fn words(
+    fn gate_messages(
         &mut self,
         service: &ServiceName,
         gates: &BTreeMap<ServerId, Gate>,
@@ -65,7 +65,7 @@
     ) -> Vec<Message> {
         let Some(granting) = self.granting.get_mut(service) else { return Vec::new() };
         let words = Message::gates(service, gates);
-        let due = granting.told.is_none_or(|at| now >= at + WORD_EVERY);
+        let due = granting.told.is_none_or(|at| now >= at + HEARTBEAT_INTERVAL);
         if !granting.grantor.leads() || (words.is_empty() && !due) {
             return Vec::new();
         }
@@ -77,28 +77,28 @@
     }
 
     /// Tells all hosts which owners are asked for too much.
-    pub(super) fn set_gates(&mut self) {
+    pub(super) fn publish_gates(&mut self) {
         let now = self.clock.now();
         self.gates.send_if_modified(|known| {
             let before = known.len();
             known.retain(|_, (until, _)| now < *until);
             known.len() != before
         });
-        if self.gated.is_some_and(|at| now < at + GATES_EVERY) {
+        if self.gates_published.is_some_and(|at| now < at + GATES_INTERVAL) {
             return;
         }
-        self.gated = Some(now);
+        self.gates_published = Some(now);
         let services: Vec<ServiceName> = self.granting.keys().cloned().collect();
         for service in services {
-            let gates = self.find_gates(&service, now);
-            for message in self.words(&service, &gates, now) {
-                self.tell_hosts(&message);
+            let gates = self.current_gates(&service, now);
+            for message in self.gate_messages(&service, &gates, now) {
+                self.send_to_hosts(&message);
             }
-            self.take_gates(gates);
+            self.apply_gates(gates);
         }
     }
 
-    pub(super) fn find_gates(
+    pub(super) fn current_gates(
         &self,
         service: &ServiceName,
         now: Instant,
@@ -121,7 +121,7 @@
         routes.max_by_key(|route| route.priority).map(|route| route.objective)
     }
 
-    pub(super) fn tell_hosts(&self, message: &Message) {
+    pub(super) fn send_to_hosts(&self, message: &Message) {
         let bytes = message.to_bytes();
         for (host, entry) in self.known.hosts().filter(|(host, _)| **host != self.me.host) {
             // A full send buffer loses the message, as the network may.
--- a/crates/jacinthbeam-host/src/process/control/granting.rs
+++ b/crates/jacinthbeam-host/src/process/control/granting.rs
@@ -21,7 +21,7 @@
 use super::{
     calls::Leadership,
     duty,
-    follow::MAPS_WAIT,
+    follow::MAPS_MAX_WAIT,
     input::Input,
     maps::MapPartition,
     state::{Control, Granting},
@@ -29,35 +29,33 @@
 use crate::process::{peers::load::Message, replica::Changed};
 
 /// The list of backend servers counts as settled when it has not changed for this long: they all start within a second.
-const SETTLED_AFTER: Duration = Duration::from_millis(1500);
+const SERVERS_STABLE_AFTER: Duration = Duration::from_millis(1500);
 
 /// Kept between the last renewal of a process that grants on after its last request, and its forced end: the word to the others, and the
 /// last calls to the store.
-const BEFORE_FORCED: Duration = Duration::from_millis(400);
+const FORCED_STOP_MARGIN: Duration = Duration::from_millis(400);
 
 /// Pause between two notes for the metrics.
-const NOTE_EVERY: Duration = Duration::from_secs(1);
+const METRICS_INTERVAL: Duration = Duration::from_secs(1);
 
 impl Control {
-    pub(super) fn meet_services(&mut self) {
+    pub(super) fn start_keyed_services(&mut self) {
         let Some(cfg) = self.known.config().cloned() else { return };
         let keyed = cfg.services.iter().filter(|(_, service)| service.keyed);
         for (name, _) in keyed {
-            self.meet_service(name);
+            self.start_keyed_service(name);
         }
     }
 
     /// Begins to follow the map of a keyed service, and to take part in granting its keys.
-    pub(super) fn meet_service(&mut self, name: &ServiceName) {
+    pub(super) fn start_keyed_service(&mut self, name: &ServiceName) {
         let number = self.partition_of(name);
         if !self.partitions.contains_key(&number) {
             let partition = Partition { topic: self.wire.places.maps.into(), number };
             let (gate, is_open) = watch::channel(*self.direct.borrow());
             self.partitions.insert(number, MapPartition::new(self.store.lane(), gate));
-            self.follow(partition, MAPS_WAIT, Duration::ZERO, is_open, move |read| Input::Maps {
-                partition: number,
-                asked: read.asked,
-                changes: read.changes,
+            self.follow(partition, MAPS_MAX_WAIT, Duration::ZERO, is_open, move |read| {
+                Input::Maps { partition: number, asked: read.asked, changes: read.changes }
             });
         }
         if !std::mem::replace(&mut self.has_joined, true) {
@@ -66,7 +64,7 @@
                 topic: self.wire.places.duties,
                 member: format!("{}:{}", self.me.host, self.me.incarnation),
                 clock: self.clock.clone(),
-                wish: self.wish.clone(),
+                duty_request: self.duty_request.clone(),
                 tx: self.tx.clone(),
             }));
         }
@@ -76,7 +74,7 @@
                 .insert(name.clone(), Granting { grantor, leads: Rc::default(), told: None });
             let duty = self.duties.contains(&number);
             self.step(name, Event::Duty(duty));
-            self.read(name, number, self.clock.now());
+            self.notify_grantor(name, number, self.clock.now());
         }
     }
 
@@ -101,34 +99,34 @@
 
     pub(super) fn on_maps(&mut self, number: u32, asked: Instant, changes: Changes) {
         let Some(partition) = self.partitions.get_mut(&number) else { return };
-        self.heard.on_maps(number, self.clock.now());
+        self.contact.on_maps(number, self.clock.now());
         let newer = partition.take(changes);
         let mut changed = Changed::default();
         for (service, map) in newer {
             changed.maps |= self.known.apply_map(service, map);
         }
         self.on_changed(changed);
-        self.read_all(number, asked);
+        self.notify_grantors(number, asked);
     }
 
     /// Tells the grantors of a partition what its newest records are.
-    pub(super) fn read_all(&mut self, number: u32, asked: Instant) {
+    pub(super) fn notify_grantors(&mut self, number: u32, asked: Instant) {
         let services: Vec<ServiceName> = self.granting.keys().cloned().collect();
         for service in services {
             if self.partition_of(&service) == number {
-                self.read(&service, number, asked);
+                self.notify_grantor(&service, number, asked);
             }
         }
     }
 
-    pub(super) fn read(&mut self, service: &ServiceName, number: u32, asked: Instant) {
+    pub(super) fn notify_grantor(&mut self, service: &ServiceName, number: u32, asked: Instant) {
         let partition = self.partitions.get(&number).filter(|partition| partition.read);
         let Some(partition) = partition else { return };
         let map = partition.newest(service).cloned();
         self.step(service, Event::Read { asked, map });
     }
 
-    pub(super) fn on_put(
+    pub(super) fn on_map_written(
         &mut self,
         service: &ServiceName,
         map: Map,
@@ -155,7 +153,7 @@
                 if err == Error::Conflict {
                     // There is something newer. The read that waits for it may be one whose answer is lost, and would come to an
                     // end only after seconds, in which no claim of this host can succeed.
-                    self.look(self.partition_of(service));
+                    self.read_maps(self.partition_of(service));
                 }
             }
         }
@@ -166,24 +164,24 @@
         for service in services {
             self.step(&service, event.clone());
         }
-        self.note_owners();
+        self.record_owner_metrics();
         let leading = self.granting.values().filter(|granting| granting.grantor.leads()).count();
         self.counters.leads.record(leading as u64, &[]);
-        self.open_gates();
+        self.enable_map_reads();
     }
 
     /// Notes for the metrics how old what is known is, and who owns keys. Once a second is enough for whoever reads them.
-    fn note_owners(&mut self) {
+    fn record_owner_metrics(&mut self) {
         let now = self.clock.now();
-        let since = self.noted.map(|at| now.saturating_duration_since(at));
-        if since.is_some_and(|since| since < NOTE_EVERY) {
+        let since = self.metrics_recorded.map(|at| now.saturating_duration_since(at));
+        if since.is_some_and(|since| since < METRICS_INTERVAL) {
             return;
         }
-        self.noted = Some(now);
+        self.metrics_recorded = Some(now);
         let age = |at: Option<Instant>| at.map(|at| now.saturating_duration_since(at));
         let told = [
-            ("store", self.heard.at()),
-            ("operator", self.heard.operator()),
+            ("store", self.contact.at()),
+            ("operator", self.contact.operator()),
             ("config", self.known.config_as_of()),
         ];
         for (what, at) in told {
@@ -201,7 +199,7 @@
     }
 
     /// A partition of maps is read by hosts that read the store for others, and by those that may have to write it.
-    pub(super) fn open_gates(&self) {
+    pub(super) fn enable_map_reads(&self) {
         let direct = *self.direct.borrow();
         for (number, partition) in &self.partitions {
             let leads = |(service, granting): (&ServiceName, &Granting)| {
@@ -215,7 +213,7 @@
     pub(super) fn step(&mut self, service: &ServiceName, event: Event) {
         let now = self.clock.now();
         let unchanged = self.known.servers_changed().map(|at| now.saturating_duration_since(at));
-        let settled = unchanged.is_some_and(|since| since >= SETTLED_AFTER);
+        let settled = unchanged.is_some_and(|since| since >= SERVERS_STABLE_AFTER);
         let Some(granting) = self.granting.get_mut(service) else { return };
         let led = granting.grantor.leads();
         let view = GrantView { now, servers: self.known.servers(), settled };
@@ -227,10 +225,10 @@
             tracing::info!(part = "grant", event = "leads", service = %service, leads = %leads, epoch = ?epoch);
         }
         if led && !leads {
-            self.caller.keep_only(&[]);
+            self.grant_client.keep_only(&[]);
         }
         for order in orders {
-            self.carry_out(service, order);
+            self.execute(service, order);
         }
     }
 
@@ -241,18 +239,18 @@
         Some(Leadership { epoch, leads })
     }
 
-    pub(super) fn carry_out(&mut self, service: &ServiceName, order: Order) {
+    pub(super) fn execute(&mut self, service: &ServiceName, order: Order) {
         let number = self.partition_of(service);
         match order {
-            Order::Record(map) => self.put(service, number, map),
-            Order::Check => self.look(number),
+            Order::Record(map) => self.write_map(service, number, map),
+            Order::Check => self.read_maps(number),
             Order::Grant { to, calls, over, until } => {
                 let Some(leadership) = self.leadership(service) else { return };
-                self.caller.grant(service.clone(), to, calls, over, until, leadership);
+                self.grant_client.grant(service.clone(), to, calls, over, until, leadership);
             }
             Order::Release { from, range, token } => {
                 let Some(leadership) = self.leadership(service) else { return };
-                self.caller.release(service.clone(), from, (range, token), leadership);
+                self.grant_client.release(service.clone(), from, (range, token), leadership);
             }
             Order::TellStopped { to, epoch, others_left } => {
                 let leader = self.me.clone();
@@ -263,17 +261,19 @@
                     tracing::debug!(part = "grant", event = "not-told", host = %to.host, error = ?err);
                 }
             }
-            Order::Announce { epoch, others_left } => self.announce(service, epoch, others_left),
+            Order::Announce { epoch, others_left } => {
+                self.broadcast_stopped(service, epoch, others_left)
+            }
             Order::Resign => {
                 tracing::warn!(part = "duty", event = "resigned", service = %service, why = "most-owners-unreachable");
-                self.wish.rest_until.set(Some(self.clock.now() + REST));
+                self.duty_request.pause_until.set(Some(self.clock.now() + REST));
             }
         }
     }
 
     /// Tells all hosts that this one grants the keys of a service no more. Each is told twice, since datagrams are lost now and then; one
     /// that hears neither waits as for a host that was lost.
-    fn announce(&self, service: &ServiceName, epoch: Epoch, others_left: Duration) {
+    fn broadcast_stopped(&self, service: &ServiceName, epoch: Epoch, others_left: Duration) {
         let leader = self.me.clone();
         let message = Message::Stopped { service: service.clone(), leader, epoch, others_left };
         let bytes = message.to_bytes();
@@ -289,13 +289,13 @@
     ///
     /// That is so while the store is away: nobody could take over. Any other time the grantor has said goodbye before the last request
     /// was answered.
-    pub(super) fn has_to_grant_on(&self) -> bool {
-        let stay = self.settings.stop_within.saturating_sub(BEFORE_FORCED);
+    pub(super) fn must_keep_granting(&self) -> bool {
+        let stay = self.settings.stop_within.saturating_sub(FORCED_STOP_MARGIN);
         let may_stay = self.stopping.is_some_and(|since| self.clock.now() < since + stay);
         may_stay && self.granting.values().any(|granting| granting.grantor.leads())
     }
 
-    pub(super) fn put(&self, service: &ServiceName, number: u32, map: Map) {
+    pub(super) fn write_map(&self, service: &ServiceName, number: u32, map: Map) {
         let Some(partition) = self.partitions.get(&number) else { return };
         let (lane, at) = (partition.lane.clone(), partition.end);
         let (service, value) = (service.clone(), Bytes::from(map.to_bytes()));
@@ -310,14 +310,14 @@
                 Ok(_) => Err(Error::Malformed("not the answer to an append".into())),
                 Err(err) => Err(err),
             };
-            if tx.send(Input::Put { service, map, asked, at, result }).is_err() {
+            if tx.send(Input::MapWritten { service, map, asked, at, result }).is_err() {
                 tracing::debug!(part = "maps", event = "stopped-meanwhile");
             }
         });
     }
 
     /// Reads at once what is new in a partition of maps. If there is nothing, that confirms what is known.
-    pub(super) fn look(&self, number: u32) {
+    pub(super) fn read_maps(&self, number: u32) {
         let Some(partition) = self.partitions.get(&number) else { return };
         let lane = partition.lane.clone();
         let from = Partition { topic: self.wire.places.maps.into(), number };
--- a/crates/jacinthbeam-host/src/process/control/input.rs
+++ b/crates/jacinthbeam-host/src/process/control/input.rs
@@ -8,7 +8,7 @@
 use jacinthbeam_types::prelude::*;
 use tokio::sync::{mpsc::UnboundedSender, oneshot};
 
-use super::ask::Topic;
+use super::update_client::Topic;
 use crate::process::{
     inbox::{InputKind, Waiting},
     peers::{
@@ -41,15 +41,15 @@
         match self {
             Self::Operator(..)
             | Self::Servers(..)
-            | Self::News { .. }
-            | Self::Question { .. }
-            | Self::Answer { .. } => InputKind::StoreState,
+            | Self::PeerUpdate { .. }
+            | Self::BuildRequest { .. }
+            | Self::PeerRequest { .. } => InputKind::StoreState,
             Self::Tick => InputKind::Tick,
             Self::Datagram(Message::Load { .. }) => InputKind::Report,
             Self::Hosts(_)
             | Self::Maps { .. }
             | Self::Duties(_)
-            | Self::Put { .. }
+            | Self::MapWritten { .. }
             | Self::Granted { .. }
             | Self::Datagram(_)
             | Self::Crash(_)
@@ -78,7 +78,7 @@
         changes: Changes,
     },
     /// What another host knew.
-    News {
+    PeerUpdate {
         /// Where that host is.
         of: SocketAddr,
         /// What it was asked for.
@@ -89,7 +89,7 @@
         news: Box<StateUpdate>,
     },
     /// A task is about to ask another host.
-    Question {
+    BuildRequest {
         /// Where that host is.
         of: SocketAddr,
         /// What it is asked for.
@@ -98,7 +98,7 @@
         reply: oneshot::Sender<UpdateRequest>,
     },
     /// Another host asks for news.
-    Answer {
+    PeerRequest {
         /// What it knows.
         asked: UpdateRequest,
         /// Where the news go.
@@ -107,7 +107,7 @@
     /// The duties that fall to this host.
     Duties(BTreeSet<u32>),
     /// An append of an ownership map has ended.
-    Put {
+    MapWritten {
         /// Of this service.
         service: ServiceName,
         /// The map, as appended.
--- a/crates/jacinthbeam-host/src/process/control/learn.rs
+++ b/crates/jacinthbeam-host/src/process/control/learn.rs
@@ -7,7 +7,7 @@
 use jacinthbeam_store::{Item, keyed::Changes};
 use jacinthbeam_types::prelude::*;
 
-use super::{ask::Topic, crashes::EVIDENCE_PREFIX, state::Control};
+use super::{crashes::EVIDENCE_PREFIX, state::Control, update_client::Topic};
 use crate::{
     process::{
         peers::{HostEntry, order::Neighbours, update::StateUpdate},
@@ -19,7 +19,7 @@
 impl Control {
     pub(super) fn on_operator(&mut self, as_of: Instant, changes: &Changes) {
         let now = self.clock.now();
-        self.heard.on_operator(now);
+        self.contact.on_operator(now);
         let newest =
             changes.items.iter().rev().find(|item| item.key == self.wire.places.config_key);
         if let Some(item) = newest.filter(|item| !item.value.is_empty()) {
@@ -27,7 +27,7 @@
         }
         self.on_evacuations(changes);
         self.known.mark_config_current(as_of.min(now));
-        self.tell_known_to();
+        self.publish_freshness();
     }
 
     /// Takes the operator's records of evacuations.
@@ -57,7 +57,7 @@
     }
 
     /// Tells the traffic thread how far what is known reaches: after what is known itself.
-    pub(super) fn tell_known_to(&self) {
+    pub(super) fn publish_freshness(&self) {
         self.known_to.send_replace(KnownTo {
             config: self.known.config_as_of(),
             servers: self.known.servers_as_of(),
@@ -82,7 +82,7 @@
 
     pub(super) fn on_servers(&mut self, asked: Instant, changes: Changes) {
         let now = self.clock.now();
-        self.heard.on_servers(asked);
+        self.contact.on_servers(asked);
         // What this read shows first, the store took after the last one was sent.
         let bound = Leaving::after(self.known.servers_as_of());
         let mut changed = false;
@@ -95,7 +95,7 @@
         }
         self.known.mark_servers_current(changes.end, Some(asked), changed, now);
         self.on_changed(Changed { servers: changed, ..Changed::default() });
-        self.tell_known_to();
+        self.publish_freshness();
     }
 
     /// Takes the entry of a server. One that another writer left and that can't be read names no server to use, whatever stood there
@@ -149,7 +149,7 @@
     }
 
     /// Takes what the host at `of` knew at `answered`, or later.
-    pub(super) fn on_news(
+    pub(super) fn on_update(
         &mut self,
         of: SocketAddr,
         topic: Topic,
@@ -157,7 +157,7 @@
         mut news: StateUpdate,
     ) {
         if let Some(crashes) = news.crashes.take() {
-            self.on_crashes(of, crashes);
+            self.on_peer_crashes(of, crashes);
         }
         if topic == Topic::Crashes {
             return;
@@ -168,11 +168,11 @@
             news.maps.iter().map(|(service, _)| service.clone()).collect();
         let changed = self.known.apply_update(news, answered);
         // Only now: a host that asks in between would take what was known before for as new as these.
-        self.heard.on_news(told, steps);
+        self.contact.on_update(told, steps);
         self.on_changed(changed);
-        self.tell_known_to();
+        self.publish_freshness();
         for service in services {
-            self.on_heard_map(&service);
+            self.on_peer_map(&service);
         }
     }
 
@@ -182,14 +182,14 @@
             return;
         }
         if changed.hosts {
-            self.drawn.clear();
+            self.cold_assignments.clear();
         }
         self.publish();
         if changed.hosts {
             self.order_hosts();
         }
         if changed.config {
-            self.meet_services();
+            self.start_keyed_services();
         }
         if changed.servers {
             self.step_all(&Event::Tick);
@@ -211,7 +211,8 @@
     /// Cold servers, and this host's part in what they get: that of the hosts of their own failure domain, so that a cut between domains
     /// changes nothing of it.
     fn cold_servers(&mut self) -> BTreeMap<ServerId, ColdServer> {
-        let (bounds, drawn) = (self.settings.slow_start, std::mem::take(&mut self.drawn));
+        let (bounds, drawn) =
+            (self.settings.slow_start, std::mem::take(&mut self.cold_assignments));
         for (server, rate, until) in self.known.cold() {
             let share = Share::of(rate, &bounds);
             let is_sender = drawn.get(&server.id).map_or_else(
@@ -219,13 +220,13 @@
                 |cold| cold.spacing.is_some(),
             );
             let spacing = is_sender.then_some(share.spacing);
-            self.drawn.insert(server.id.clone(), ColdServer { until, spacing });
+            self.cold_assignments.insert(server.id.clone(), ColdServer { until, spacing });
         }
-        self.drawn.clone()
+        self.cold_assignments.clone()
     }
 
     /// A host that grants looks whether others have heard of a successor of its. For any other the map says nothing that it acts on here.
-    fn on_heard_map(&mut self, service: &ServiceName) {
+    fn on_peer_map(&mut self, service: &ServiceName) {
         let leads = self.granting.get(service).is_some_and(|granting| granting.grantor.leads());
         let map = self.known.map(service).filter(|_| leads).cloned();
         if let Some(map) = map {
--- a/crates/jacinthbeam-host/src/process/control/maps.rs
+++ b/crates/jacinthbeam-host/src/process/control/maps.rs
@@ -18,7 +18,7 @@
     newest: BTreeMap<ServiceName, (Offset, Map)>,
     /// Connection for appends and checks, one call at a time.
     pub(super) lane: Rc<Lane>,
-    /// Whether it is followed now.
+    /// Whether it is options now.
     pub(super) gate: watch::Sender<bool>,
 }
 
--- a/crates/jacinthbeam-host/src/process/control/mod.rs
+++ b/crates/jacinthbeam-host/src/process/control/mod.rs
@@ -3,22 +3,22 @@
 //! All state is in one [`Control`], changed by one [`Input`] at a time. Everything that waits (reads of the store, calls to
 //! backend servers) runs in tasks that send an input when they are done.
 
-mod across;
-mod ask;
 mod calls;
+mod contact;
 mod crashes;
+mod cross_domain;
 mod duty;
-mod enlist;
 mod feed;
 mod follow;
 mod gates;
 mod granting;
-mod heard;
 mod input;
 mod learn;
 mod maps;
+mod registration;
 mod state;
 mod unreadable;
+mod update_client;
 
 use std::{
     cell::RefCell,
@@ -82,7 +82,7 @@
 const TICK: Duration = Duration::from_millis(100);
 
 /// Time for the last calls to the store after the last request.
-const LAST_CALLS: Duration = Duration::from_millis(100);
+const FINAL_CALLS_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// The sockets of the thread.
 pub(super) struct Sockets {
@@ -104,23 +104,23 @@
         Ok(socket) => Rc::new(socket),
         Err(err) => return tracing::error!(part = "peers", event = "no-socket", error = ?err),
     };
-    spawn_local(hear(reports.clone(), tx.clone()));
+    spawn_local(receive_datagrams(reports.clone(), tx.clone()));
     spawn_local(serve_news(news, tx.clone(), start.view.subscribe()));
     spawn_local(tick(tx.clone()));
     spawn_local(await_stop(start.phase.clone(), tx.clone()));
     let mut served = std::mem::replace(&mut start.served, oneshot::channel().1);
     let crashes = std::mem::replace(&mut start.crashes, mpsc::unbounded_channel().1);
-    spawn_local(take_crashes(crashes, tx.clone()));
+    spawn_local(forward_crashes(crashes, tx.clone()));
     let usage = start.usage.clone();
     let mut control = Control::new(start, tx, reports);
-    control.begin();
+    control.start_tasks();
     let mut is_served = false;
     let mut last = control.recorder(usage.clone());
     spawn_local(control.recorder(usage).run());
     loop {
         tokio::select! {
             input = rx.recv(), if inbox.is_empty() => match input {
-                Some(input) => take_in(&mut control, &mut inbox, input),
+                Some(input) => enqueue(&mut control, &mut inbox, input),
                 None => break,
             },
             // An error is the end: the sender is dropped.
@@ -130,38 +130,38 @@
             () = tokio::task::yield_now(), if !inbox.is_empty() => {}
         }
         while let Ok(input) = rx.try_recv() {
-            take_in(&mut control, &mut inbox, input);
+            enqueue(&mut control, &mut inbox, input);
         }
-        take(&mut control, &mut inbox);
-        if is_served && !control.has_to_grant_on() {
+        process_batch(&mut control, &mut inbox);
+        if is_served && !control.must_keep_granting() {
             break;
         }
     }
     control.step_all(&Event::End);
-    tokio::join!(tokio::time::sleep(LAST_CALLS), last.record());
+    tokio::join!(tokio::time::sleep(FINAL_CALLS_TIMEOUT), last.record());
     tracing::info!(part = "process", event = "stop");
 }
 
 /// Lets an input wait for its turn.
-fn take_in(control: &mut Control, inbox: &mut Inbox<Input>, input: Waiting<Input>) {
+fn enqueue(control: &mut Control, inbox: &mut Inbox<Input>, input: Waiting<Input>) {
     if inbox.push(input) {
         control.counters.reports_left_out.add(1, &[]);
     }
 }
 
 /// Takes the inputs that are next.
-fn take(control: &mut Control, inbox: &mut Inbox<Input>) {
+fn process_batch(control: &mut Control, inbox: &mut Inbox<Input>) {
     for Waiting { input, since } in inbox.next_batch() {
-        control.note_wait(&input, since);
-        control.on(input);
+        control.record_wait(&input, since);
+        control.handle(input);
     }
-    control.go_on();
+    control.finish_batch();
 }
 
 async fn serve_news(listener: TcpListener, tx: Tx, changes: watch::Receiver<Arc<View>>) {
     let find = move |asked: UpdateRequest| {
         let (tx, changes) = (tx.clone(), changes.clone());
-        let most = if asked.only_crashes { across::WAIT } else { feed::WAIT };
+        let most = if asked.only_crashes { cross_domain::MAX_WAIT } else { feed::MAX_WAIT };
         let wait = asked.wait.min(most);
         let asked = RefCell::new(asked);
         async move {
@@ -182,7 +182,7 @@
 async fn look(tx: &Tx, asked: &UpdateRequest) -> StateUpdate {
     let (reply, news) = oneshot::channel();
     let nothing = || StateUpdate { age: Duration::MAX, ..StateUpdate::default() };
-    match tx.send(Input::Answer { asked: asked.clone(), reply }) {
+    match tx.send(Input::PeerRequest { asked: asked.clone(), reply }) {
         Ok(()) => news.await.unwrap_or_else(|_| nothing()),
         Err(_) => nothing(),
     }
@@ -267,7 +267,7 @@
 }
 
 /// Takes what the traffic thread sees of servers that ended.
-async fn take_crashes(mut crashes: mpsc::UnboundedReceiver<Fact>, tx: Tx) {
+async fn forward_crashes(mut crashes: mpsc::UnboundedReceiver<Fact>, tx: Tx) {
     while let Some(fact) = crashes.recv().await {
         if tx.send(Input::Crash(fact)).is_err() {
             return;
@@ -284,7 +284,7 @@
 }
 
 /// Takes datagrams of other hosts.
-async fn hear(socket: Rc<tokio::net::UdpSocket>, tx: Tx) {
+async fn receive_datagrams(socket: Rc<tokio::net::UdpSocket>, tx: Tx) {
     let mut buf = [0; peers::load::LONGEST * 2];
     loop {
         let (len, from) = match socket.recv_from(&mut buf).await {
--- a/crates/jacinthbeam-host/src/process/control/enlist.rs
+++ b/crates/jacinthbeam-host/src/process/control/registration.rs
@@ -14,17 +14,17 @@
 use crate::process::peers::{HostEntry, order};
 
 /// Pauses after failed reads of the list. A host that can't read it knows nobody else to ask, and all of a fleet may be in that place.
-const FIRST_PAUSE: Duration = Duration::from_millis(250);
-const LONGEST_PAUSE: Duration = Duration::from_secs(2);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(250);
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
 /// First pause after an entry that was not kept.
-const PUT_AGAIN: Duration = Duration::from_millis(200);
+const INITIAL_WRITE_BACKOFF: Duration = Duration::from_millis(200);
 
 /// Time in which all hosts that start together have put their entries, and some more for calls that take longer.
-const SETTLE: Duration = Duration::from_millis(400);
+const REGISTRATION_WINDOW: Duration = Duration::from_millis(400);
 
 /// What the task needs.
-pub(super) struct Enlist {
+pub(super) struct Registration {
     pub(super) lane: Lane,
     /// The list of hosts.
     pub(super) list: Partition,
@@ -39,20 +39,20 @@
 /// That is one read for each host that starts, and a write for those that are new. New ones look for others only when all that start
 /// with them have put their entries, and one that had found nobody before it in its failure domain reads once more: it would read the whole
 /// store else, as would each that comes later and before it in the order.
-pub(super) async fn run(enlist: Enlist) {
-    let listed = enlist.read().await;
-    if order::has(&enlist.host, &enlist.entry, &listed) {
-        return enlist.tell(listed);
+pub(super) async fn run(registration: Registration) {
+    let listed = registration.read().await;
+    if order::has(&registration.host, &registration.entry, &listed) {
+        return registration.tell(listed);
     }
-    enlist.put().await;
-    tokio::time::sleep(SETTLE).await;
-    let is_first = order::is_first(&enlist.host, &enlist.entry, &listed);
-    enlist.tell(if is_first { enlist.read().await } else { listed });
+    registration.put().await;
+    tokio::time::sleep(REGISTRATION_WINDOW).await;
+    let is_first = order::is_first(&registration.host, &registration.entry, &listed);
+    registration.tell(if is_first { registration.read().await } else { listed });
 }
 
-impl Enlist {
+impl Registration {
     async fn read(&self) -> Changes {
-        let mut backoff = Backoff::new(FIRST_PAUSE, LONGEST_PAUSE);
+        let mut backoff = Backoff::new(INITIAL_BACKOFF, MAX_BACKOFF);
         loop {
             match Follower::new(self.list.clone()).look(&self.lane, Duration::ZERO).await {
                 Ok(changes) => return changes,
@@ -72,7 +72,7 @@
 
     /// Says in the store where this host is, until that is kept.
     async fn put(&self) {
-        let mut backoff = Backoff::new(PUT_AGAIN, REST);
+        let mut backoff = Backoff::new(INITIAL_WRITE_BACKOFF, REST);
         let value = Bytes::from(self.entry.to_bytes());
         let (to, key) = (self.list.clone(), self.host.to_string());
         let call = Call::Put { to, key, value, only_at: None };
--- a/crates/jacinthbeam-host/src/process/control/state.rs
+++ b/crates/jacinthbeam-host/src/process/control/state.rs
@@ -16,18 +16,21 @@
 
 use super::{
     Start,
-    across::{self, Across},
-    ask::Asker,
-    calls::{Caller, Leads},
+    calls::{GrantClient, LeadEpoch},
+    contact::StoreContact,
     crashes::{self, EVIDENCE_PREFIX, Recorder},
+    cross_domain::{self, CrossDomain},
     duty,
-    enlist::{self, Enlist},
     feed::{self, Feed},
-    follow::{self, Followed, HOSTS_EVERY, HOSTS_WAIT, OPERATOR_WAIT, Read, SERVERS_EVERY},
-    heard::Heard,
+    follow::{
+        self, FollowOptions, HOSTS_MAX_WAIT, HOSTS_READ_INTERVAL, OPERATOR_MAX_WAIT, Read,
+        SERVERS_READ_INTERVAL,
+    },
     input::{Input, Tx},
     maps::MapPartition,
+    registration::{self, Registration},
     unreadable::Unreadable,
+    update_client::UpdateClient,
 };
 use crate::{
     Settings, Wire,
@@ -48,7 +51,7 @@
 #[derive(Debug)]
 pub(super) struct Granting {
     pub(super) grantor: Grantor,
-    pub(super) leads: Leads,
+    pub(super) leads: LeadEpoch,
     /// When this host last told the others that it grants.
     pub(super) told: Option<Instant>,
 }
@@ -66,21 +69,21 @@
     pub(super) known_to: watch::Sender<KnownTo>,
     pub(super) gates: watch::Sender<Gates>,
     /// When gates were last told.
-    pub(super) gated: Option<Instant>,
-    /// When ages and owners were last noted for the metrics.
-    pub(super) noted: Option<Instant>,
+    pub(super) gates_published: Option<Instant>,
+    /// When ages and owners were last metrics_recorded for the metrics.
+    pub(super) metrics_recorded: Option<Instant>,
     /// Datagrams to other hosts go out here.
     pub(super) socket: Rc<UdpSocket>,
     pub(super) tx: Tx,
     pub(super) store: Client,
-    pub(super) caller: Caller,
+    pub(super) grant_client: GrantClient,
     pub(super) known: StoreReplica,
     /// Cold servers, and whether this host is drawn as a sender of each among the hosts that it knows.
-    pub(super) drawn: BTreeMap<ServerId, ColdServer>,
+    pub(super) cold_assignments: BTreeMap<ServerId, ColdServer>,
     /// Evidence of requests that crash servers.
     pub(super) crashes: Exchange,
     /// What other hosts and the store have of it.
-    pub(super) crashes_told: crashes::SyncState,
+    pub(super) crash_sync: crashes::SyncState,
     /// What the store has to hold of these facts.
     pub(super) evidence: watch::Sender<Bytes>,
     /// Whether the list of hosts was read from the store in this life, and the evidence beside it.
@@ -88,13 +91,13 @@
     /// How far other hosts have to be told without waiting for the next question.
     pub(super) to_tell: watch::Sender<Position>,
     /// When this host last heard of the store, by itself or through others.
-    pub(super) heard: Rc<Heard>,
+    pub(super) contact: Rc<StoreContact>,
     /// Whether this host asks the store itself.
     pub(super) direct: Rc<watch::Sender<bool>>,
     /// `None` until the list of hosts is known.
     pub(super) neighbours: watch::Sender<Option<Neighbours>>,
     pub(super) duties: BTreeSet<u32>,
-    pub(super) wish: Rc<duty::Wish>,
+    pub(super) duty_request: Rc<duty::DutyRequest>,
     /// Whether this host takes duties, or leaves them to hosts with more processor.
     pub(super) standby: Standby,
     pub(super) has_joined: bool,
@@ -119,7 +122,7 @@
         Self {
             standby,
             store: open_store(&settings, wire, clock.clone(), counters.clone()),
-            caller: Caller::new(wire, clock.clone(), tx.clone()),
+            grant_client: GrantClient::new(wire, clock.clone(), tx.clone()),
             settings,
             wire,
             clock,
@@ -128,22 +131,22 @@
             view,
             known_to,
             gates,
-            gated: None,
-            noted: None,
+            gates_published: None,
+            metrics_recorded: None,
             socket,
             tx,
             known: StoreReplica::default(),
-            drawn: BTreeMap::new(),
+            cold_assignments: BTreeMap::new(),
             crashes: Exchange::new(me.host.clone(), incarnation),
-            crashes_told: crashes::SyncState::default(),
+            crash_sync: crashes::SyncState::default(),
             evidence: watch::channel(Bytes::new()).0,
             has_read_hosts: false,
             to_tell: watch::channel(Position::default()).0,
-            heard: Rc::default(),
+            contact: Rc::default(),
             direct: Rc::new(watch::channel(false).0),
             neighbours: watch::channel(None).0,
             duties: BTreeSet::new(),
-            wish: Rc::default(),
+            duty_request: Rc::default(),
             has_joined: false,
             partitions: BTreeMap::new(),
             granting: BTreeMap::new(),
@@ -155,21 +158,21 @@
     }
 
     /// Starts to follow the store, or hosts that do.
-    pub(super) fn begin(&mut self) {
+    pub(super) fn start_tasks(&mut self) {
         let places = self.wire.places;
         let gate = self.direct.subscribe();
         let once = Duration::ZERO;
-        self.follow((places.operator)(), OPERATOR_WAIT, once, gate.clone(), |read| {
+        self.follow((places.operator)(), OPERATOR_MAX_WAIT, once, gate.clone(), |read| {
             Input::Operator(read.as_of(), read.changes)
         });
-        self.follow((places.servers)(), once, SERVERS_EVERY, gate.clone(), |read| {
+        self.follow((places.servers)(), once, SERVERS_READ_INTERVAL, gate.clone(), |read| {
             Input::Servers(read.asked, read.changes)
         });
         let hosts = Partition { topic: places.hosts.into(), number: 0 };
-        self.follow(hosts.clone(), HOSTS_WAIT, HOSTS_EVERY, gate, |read| {
+        self.follow(hosts.clone(), HOSTS_MAX_WAIT, HOSTS_READ_INTERVAL, gate, |read| {
             Input::Hosts(read.changes)
         });
-        spawn_local(enlist::run(Enlist {
+        spawn_local(registration::run(Registration {
             lane: self.store.lane(),
             list: hosts.clone(),
             host: self.me.host.clone(),
@@ -183,22 +186,22 @@
             evidence: self.evidence.subscribe(),
         };
         spawn_local(recorder.run());
-        let asker = Asker {
+        let client = UpdateClient {
             clock: self.clock.clone(),
             to_tell: self.to_tell.subscribe(),
             tx: self.tx.clone(),
         };
-        spawn_local(across::run(Across {
-            asker: asker.clone(),
+        spawn_local(cross_domain::run(CrossDomain {
+            client: client.clone(),
             neighbours: self.neighbours.subscribe(),
             direct: self.direct.clone(),
         }));
         spawn_local(feed::run(Feed {
-            asker,
+            client,
             neighbours: self.neighbours.subscribe(),
             seeds: self.settings.seeds.clone(),
             direct: self.direct.clone(),
-            heard: self.heard.clone(),
+            contact: self.contact.clone(),
         }));
     }
 
@@ -230,32 +233,34 @@
         gate: watch::Receiver<bool>,
         input: impl Fn(Read) -> Input + 'static,
     ) {
-        let followed = Followed { partition, wait, every, gate };
+        let options = FollowOptions { partition, wait, every, gate };
         let (store, reach) = (self.store.clone(), self.reach.clone());
         let (clock, tx) = (self.clock.clone(), self.tx.clone());
-        spawn_local(follow::follow(store, reach, followed, clock, tx, input));
+        spawn_local(follow::follow(store, reach, options, clock, tx, input));
     }
 
     /// Takes an input.
-    pub(super) fn on(&mut self, input: Input) {
+    pub(super) fn handle(&mut self, input: Input) {
         match input {
             Input::Operator(as_of, changes) => self.on_operator(as_of, &changes),
             Input::Servers(asked, changes) => self.on_servers(asked, changes),
             Input::Hosts(changes) => self.on_hosts(&changes),
             Input::Maps { partition, asked, changes } => self.on_maps(partition, asked, changes),
-            Input::News { of, topic, answered, news } => self.on_news(of, topic, answered, *news),
-            Input::Question { of, topic, reply } => {
+            Input::PeerUpdate { of, topic, answered, news } => {
+                self.on_update(of, topic, answered, *news)
+            }
+            Input::BuildRequest { of, topic, reply } => {
                 // The task that asked may have been given up meanwhile.
                 let _ = reply.send(self.question(of, topic));
             }
-            Input::Answer { asked, reply } => {
+            Input::PeerRequest { asked, reply } => {
                 // As above.
                 let _ = reply.send(self.answer(&asked));
             }
             Input::Crash(fact) => self.on_crash(fact),
             Input::Duties(duties) => self.on_duties(duties),
-            Input::Put { service, map, asked, at, result } => {
-                self.on_put(&service, map, asked, at, result);
+            Input::MapWritten { service, map, asked, at, result } => {
+                self.on_map_written(&service, map, asked, at, result);
             }
             Input::Granted { service, event } => {
                 self.counters.on_grant(&event);
@@ -267,13 +272,13 @@
             }
             Input::Datagram(message) => self.on_datagram(message),
             Input::Tick => {
-                self.tell_known_to();
+                self.publish_freshness();
                 if self.known.expire_cold_servers(self.clock.now()) {
                     self.on_changed(Changed { servers: true, ..Changed::default() });
                 }
-                self.stand_by();
+                self.update_standby();
                 self.step_all(&Event::Tick);
-                self.set_gates();
+                self.publish_gates();
             }
             Input::Dump(reply) => {
                 // Whoever asked may have left.
@@ -282,21 +287,21 @@
             Input::Stop => {
                 self.stopping = Some(self.clock.now());
                 self.step_all(&Event::Stop);
-                self.wish.leave.set(true);
+                self.duty_request.leave.set(true);
             }
         }
     }
 
     /// Goes on with what one look serves for, after all inputs that came together: keys that were released, and facts to tell.
-    pub(super) fn go_on(&mut self) {
+    pub(super) fn finish_batch(&mut self) {
         for service in std::mem::take(&mut self.released) {
             self.step(&service, Event::Tick);
         }
-        self.tell_crashes();
+        self.publish_crashes();
     }
 
     /// Notes how long an input has waited for this thread.
-    pub(super) fn note_wait(&self, input: &Input, since: Instant) {
+    pub(super) fn record_wait(&self, input: &Input, since: Instant) {
         let waited = self.clock.now().saturating_duration_since(since);
         self.counters.on_control_wait(input.kind() == InputKind::StoreState, waited);
     }
--- a/crates/jacinthbeam-host/src/process/control/ask.rs
+++ b/crates/jacinthbeam-host/src/process/control/update_client.rs
@@ -10,7 +10,7 @@
 use crate::process::peers::{link::Link, source::Answer, update::UpdateRequest};
 
 /// Pause between questions that brought no news at once, so that a host that answers wrongly isn't asked in a tight loop.
-pub(super) const LEAST_PAUSE: Duration = Duration::from_millis(5);
+pub(super) const MIN_POLL_PAUSE: Duration = Duration::from_millis(5);
 
 /// What is asked for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -23,14 +23,14 @@
 
 /// Asks other hosts on behalf of the control thread.
 #[derive(Debug, Clone)]
-pub(super) struct Asker {
+pub(super) struct UpdateClient {
     pub(super) clock: Arc<dyn Clock>,
     /// How far this host's own list of facts has to be told without waiting for the next question.
     pub(super) to_tell: watch::Receiver<Position>,
     pub(super) tx: Tx,
 }
 
-impl Asker {
+impl UpdateClient {
     /// Asks once, hands on what came, and returns how good it is.
     ///
     /// A host waits for news before it answers, up to two seconds. What this host has seen in that time is told at once, by asking anew: three
@@ -53,9 +53,9 @@
             // seems newer than it is.
             let answered = begun + news.waited;
             if news.is_empty() {
-                tokio::time::sleep(LEAST_PAUSE).await;
+                tokio::time::sleep(MIN_POLL_PAUSE).await;
             }
-            let input = Input::News { of, topic, answered, news: Box::new(news) };
+            let input = Input::PeerUpdate { of, topic, answered, news: Box::new(news) };
             self.tx.send(input).map_err(|_| "the process ends")?;
             return Ok(answer);
         }
@@ -63,7 +63,7 @@
 
     async fn question(&self, of: SocketAddr, topic: Topic) -> Option<UpdateRequest> {
         let (reply, asked) = oneshot::channel();
-        self.tx.send(Input::Question { of, topic, reply }).ok()?;
+        self.tx.send(Input::BuildRequest { of, topic, reply }).ok()?;
         asked.await.ok()
     }
 
