--- a/crates/jacinthbeam-host/src/process/control/feed.rs
+++ b/crates/jacinthbeam-host/src/process/control/feed.rs
@@ -12,66 +12,67 @@
 use tokio::sync::watch;
 
 use super::{
-    ask::{Asker, LEAST_PAUSE, Topic},
-    heard::Heard,
+    contact::StoreContact,
+    update_client::{MIN_POLL_PAUSE, Topic, UpdateClient},
 };
 use crate::process::peers::{
     link::Link,
     order::{Neighbour, Neighbours},
-    source::{self, NoAnswer, Sources, Step},
+    source::{self, Action, NoAnswer, SourceSelector},
 };
 
 /// Longest wait for news at another host; its answer without news shows that it is there, and how fresh it is.
-pub(super) const WAIT: Duration = Duration::from_millis(700);
+pub(super) const MAX_WAIT: Duration = Duration::from_millis(700);
 
 /// Pause of a host that reads the store itself before it looks again whether another could do it.
-const LOOK_AGAIN: Duration = Duration::from_millis(1000);
+const RECHECK_INTERVAL: Duration = Duration::from_millis(1000);
 
 /// The same while the store gives it no answers.
-const LOOK_AGAIN_LOST: Duration = Duration::from_millis(250);
+const RECHECK_INTERVAL_UNANSWERED: Duration = Duration::from_millis(250);
 
 /// What the task needs of the control thread.
 #[derive(Clone)]
 pub(super) struct Feed {
-    pub(super) asker: Asker,
+    pub(super) client: UpdateClient,
     /// `None` until the list of hosts is known.
     pub(super) neighbours: watch::Receiver<Option<Neighbours>>,
     /// Hosts that are asked while none is known.
     pub(super) seeds: Vec<SocketAddr>,
     /// Whether this host reads the store itself.
     pub(super) direct: Rc<watch::Sender<bool>>,
-    pub(super) heard: Rc<Heard>,
+    pub(super) contact: Rc<StoreContact>,
 }
 
 /// Chooses sources for ever.
 pub(super) async fn run(mut feed: Feed) {
-    let mut sources = Sources::default();
+    let mut sources = SourceSelector::default();
     loop {
         let known = feed.neighbours.borrow_and_update().clone();
-        if !feed.seeds.is_empty() && source::asks_seeds(known.as_ref(), feed.age()) {
+        if !feed.seeds.is_empty() && source::should_ask_seeds(known.as_ref(), feed.age()) {
             feed.ask_seed().await;
             continue;
         }
         let Some(neighbours) = known else {
-            feed.pause(LOOK_AGAIN).await;
+            feed.pause(RECHECK_INTERVAL).await;
             continue;
         };
         let lost = *feed.direct.borrow() && !feed.reads_store();
         let pick = |addrs: &[SocketAddr]| fastrand::choice(addrs).copied();
         match sources.next(feed.now(), &neighbours, lost, pick) {
-            Step::Ask(host) => ask_on(&feed, &mut sources, &host).await,
-            Step::Wait(pause) => {
+            Action::Ask(host) => ask_on(&feed, &mut sources, &host).await,
+            Action::Wait(pause) => {
                 if lost {
                     set_direct(&feed, false);
                 }
-                tokio::time::sleep(pause.max(LEAST_PAUSE)).await;
+                tokio::time::sleep(pause.max(MIN_POLL_PAUSE)).await;
             }
-            Step::Read => {
+            Action::ReadStore => {
                 set_direct(&feed, true);
-                let pause = if feed.reads_store() { LOOK_AGAIN } else { LOOK_AGAIN_LOST };
+                let pause =
+                    if feed.reads_store() { RECHECK_INTERVAL } else { RECHECK_INTERVAL_UNANSWERED };
                 feed.pause(pause).await;
             }
-            Step::Help(addr) => {
+            Action::AskForHelp(addr) => {
                 set_direct(&feed, true);
                 ask_for_help(&feed, addr).await;
                 sources.on_no_help(addr, feed.now());
@@ -82,16 +83,16 @@
 
 impl Feed {
     fn now(&self) -> Instant {
-        self.asker.clock.now()
+        self.client.clock.now()
     }
 
     /// Whether this host itself reads the store, and is answered.
     fn reads_store(&self) -> bool {
-        *self.direct.borrow() && self.heard.is_answered(self.now())
+        *self.direct.borrow() && self.contact.is_answered(self.now())
     }
 
     fn age(&self) -> Duration {
-        self.heard.age(self.now())
+        self.contact.age(self.now())
     }
 
     /// Asks a host that the settings name, and reads the store as soon as that answers.
@@ -102,7 +103,7 @@
         if let Some(addr) = fastrand::choice(&self.seeds).copied() {
             ask_for_help(self, addr).await;
         }
-        self.pause(LOOK_AGAIN_LOST).await;
+        self.pause(RECHECK_INTERVAL_UNANSWERED).await;
     }
 
     /// Waits, but not on when other hosts become known.
@@ -120,11 +121,11 @@
 }
 
 /// Asks a host before this one, for as long as its answers are fresh.
-async fn ask_on(feed: &Feed, sources: &mut Sources, (host, addr): &Neighbour) {
+async fn ask_on(feed: &Feed, sources: &mut SourceSelector, (host, addr): &Neighbour) {
     let mut follows = false;
     let no_answer = match Link::open(*addr).await {
         Ok(mut link) => loop {
-            match feed.asker.ask(&mut link, *addr, Topic::All).await {
+            match feed.client.ask(&mut link, *addr, Topic::All).await {
                 Ok(answer) => {
                     let (reads, now) = (feed.reads_store(), feed.now());
                     if !sources.on_answer(host, answer, reads, now) {
@@ -163,7 +164,7 @@
     };
     let mut helped = false;
     while !feed.reads_store() {
-        match feed.asker.ask(&mut link, addr, Topic::All).await {
+        match feed.client.ask(&mut link, addr, Topic::All).await {
             Ok(answer) if answer.helps() => {
                 if !std::mem::replace(&mut helped, true) {
                     tracing::info!(part = "feed", event = "helped", asked = %addr, steps = %answer.steps);
--- a/crates/jacinthbeam-host/src/process/control/input.rs
+++ b/crates/jacinthbeam-host/src/process/control/input.rs
@@ -8,12 +8,12 @@
 use jacinthbeam_types::prelude::*;
 use tokio::sync::{mpsc::UnboundedSender, oneshot};
 
-use super::ask::Topic;
+use super::update_client::Topic;
 use crate::process::{
-    inbox::{Kind, Waiting},
+    inbox::{InputKind, Waiting},
     peers::{
         load::Message,
-        news::{Asked, News},
+        update::{StateUpdate, UpdateRequest},
     },
 };
 
@@ -37,24 +37,24 @@
 
 impl Input {
     /// What it is to the order in which inputs are taken.
-    pub(super) fn kind(&self) -> Kind {
+    pub(super) fn kind(&self) -> InputKind {
         match self {
             Self::Operator(..)
             | Self::Servers(..)
-            | Self::News { .. }
-            | Self::Question { .. }
-            | Self::Answer { .. } => Kind::News,
-            Self::Tick => Kind::Tick,
-            Self::Datagram(Message::Load { .. }) => Kind::Report,
+            | Self::PeerUpdate { .. }
+            | Self::BuildRequest { .. }
+            | Self::PeerRequest { .. } => InputKind::StoreState,
+            Self::Tick => InputKind::Tick,
+            Self::Datagram(Message::Load { .. }) => InputKind::Report,
             Self::Hosts(_)
             | Self::Maps { .. }
             | Self::Duties(_)
-            | Self::Put { .. }
+            | Self::MapWritten { .. }
             | Self::Granted { .. }
             | Self::Datagram(_)
             | Self::Crash(_)
             | Self::Dump(_)
-            | Self::Stop => Kind::Other,
+            | Self::Stop => InputKind::Other,
         }
     }
 }
@@ -78,7 +78,7 @@
         changes: Changes,
     },
     /// What another host knew.
-    News {
+    PeerUpdate {
         /// Where that host is.
         of: SocketAddr,
         /// What it was asked for.
@@ -86,28 +86,28 @@
         /// It knew it then, or later.
         answered: Instant,
         /// What it knew.
-        news: Box<News>,
+        news: Box<StateUpdate>,
     },
     /// A task is about to ask another host.
-    Question {
+    BuildRequest {
         /// Where that host is.
         of: SocketAddr,
         /// What it is asked for.
         topic: Topic,
         /// Where the question goes.
-        reply: oneshot::Sender<Asked>,
+        reply: oneshot::Sender<UpdateRequest>,
     },
     /// Another host asks for news.
-    Answer {
+    PeerRequest {
         /// What it knows.
-        asked: Asked,
+        asked: UpdateRequest,
         /// Where the news go.
-        reply: oneshot::Sender<News>,
+        reply: oneshot::Sender<StateUpdate>,
     },
     /// The duties that fall to this host.
     Duties(BTreeSet<u32>),
     /// An append of an ownership map has ended.
-    Put {
+    MapWritten {
         /// Of this service.
         service: ServiceName,
         /// The map, as appended.
--- a/crates/jacinthbeam-host/src/process/control/learn.rs
+++ b/crates/jacinthbeam-host/src/process/control/learn.rs
@@ -7,11 +7,11 @@
 use jacinthbeam_store::{Item, keyed::Changes};
 use jacinthbeam_types::prelude::*;
 
-use super::{ask::Topic, crashes::EVIDENCE_PREFIX, state::Control};
+use super::{crashes::EVIDENCE_PREFIX, state::Control, update_client::Topic};
 use crate::{
     process::{
-        known::Changed,
-        peers::{HostEntry, news::News, order::Neighbours},
+        peers::{HostEntry, order::Neighbours, update::StateUpdate},
+        replica::Changed,
     },
     version::{ColdServer, Freshness, Leaving},
 };
@@ -19,15 +19,15 @@
 impl Control {
     pub(super) fn on_operator(&mut self, as_of: Instant, changes: &Changes) {
         let now = self.clock.now();
-        self.heard.on_operator(now);
+        self.contact.on_operator(now);
         let newest =
             changes.items.iter().rev().find(|item| item.key == self.wire.store_layout.config_key);
         if let Some(item) = newest.filter(|item| !item.value.is_empty()) {
             self.on_config(item);
         }
         self.on_evacuations(changes);
-        self.known.config_known_to(as_of.min(now));
-        self.tell_known_to();
+        self.known.mark_config_current(as_of.min(now));
+        self.publish_freshness();
     }
 
     /// Takes the operator's records of evacuations.
@@ -42,7 +42,7 @@
                 Ok(domain) => {
                     let evacuated = !item.value.is_empty();
                     listed.extend(evacuated.then(|| domain.clone()));
-                    changed |= self.known.take_evacuation(domain, item.offset, evacuated, now);
+                    changed |= self.known.apply_evacuation(domain, item.offset, evacuated, now);
                 }
                 Err(err) => self.note_unreadable("evacuation", item, &err.to_string()),
             }
@@ -57,7 +57,7 @@
     }
 
     /// Tells the traffic thread how far what is known reaches: after what is known itself.
-    pub(super) fn tell_known_to(&self) {
+    pub(super) fn publish_freshness(&self) {
         self.freshness.send_replace(Freshness {
             config: self.known.config_as_of(),
             servers: self.known.servers_as_of(),
@@ -68,7 +68,7 @@
     fn on_config(&mut self, item: &Item) {
         match (self.wire.parse_config)(&item.value) {
             Ok(cfg) => {
-                let config = self.known.take_config(cfg);
+                let config = self.known.apply_config(cfg);
                 if config {
                     self.known.on_operator_changed(self.clock.now());
                 }
@@ -82,7 +82,7 @@
 
     pub(super) fn on_servers(&mut self, asked: Instant, changes: Changes) {
         let now = self.clock.now();
-        self.heard.on_servers(asked);
+        self.contact.on_servers(asked);
         // What this read shows first, the store took after the last one was sent.
         let bound = Leaving::after(self.known.servers_as_of());
         let mut changed = false;
@@ -91,11 +91,11 @@
         }
         if changes.whole {
             let listed: Vec<&str> = changes.items.iter().map(|item| item.key.as_str()).collect();
-            changed |= self.known.drop_unlisted(&listed, changes.end, bound);
+            changed |= self.known.remove_unlisted(&listed, changes.end, bound);
         }
-        self.known.servers_known_to(changes.end, Some(asked), changed, now);
+        self.known.mark_servers_current(changes.end, Some(asked), changed, now);
         self.on_changed(Changed { servers: changed, ..Changed::default() });
-        self.tell_known_to();
+        self.publish_freshness();
     }
 
     /// Takes the entry of a server. One that another writer left and that can't be read names no server to use, whatever stood there
@@ -109,7 +109,7 @@
             }
         };
         if item.value.is_empty() {
-            return self.known.take_server(name, item.offset, None, bound);
+            return self.known.apply_server(name, item.offset, None, bound);
         }
         let server = match (self.wire.parse_server)(&item.key, &item.value) {
             Ok(server) => Some(server),
@@ -118,7 +118,7 @@
                 None
             }
         };
-        self.known.take_server(name, item.offset, server, bound)
+        self.known.apply_server(name, item.offset, server, bound)
     }
 
     pub(super) fn note_unreadable(&mut self, what: &'static str, item: &Item, why: &str) {
@@ -136,28 +136,28 @@
                 continue;
             }
             match (item.key.parse::<HostId>(), HostEntry::from_bytes(&item.value)) {
-                (Ok(host), Ok(entry)) => changed |= self.known.take_host(host, item.offset, entry),
+                (Ok(host), Ok(entry)) => changed |= self.known.apply_host(host, item.offset, entry),
                 (Err(err), _) => self.note_unreadable("host", item, &err.to_string()),
                 (_, Err(err)) => self.note_unreadable("host", item, &err.to_string()),
             }
         }
         self.has_read_hosts = true;
-        self.known.hosts_known_to(changes.end);
+        self.known.mark_hosts_current(changes.end);
         self.on_changed(Changed { hosts: changed, ..Changed::default() });
         // The first host of all finds an empty list, and that is news too.
         self.order_hosts();
     }
 
     /// Takes what the host at `of` knew at `answered`, or later.
-    pub(super) fn on_news(
+    pub(super) fn on_update(
         &mut self,
         of: SocketAddr,
         topic: Topic,
         answered: Instant,
-        mut news: News,
+        mut news: StateUpdate,
     ) {
         if let Some(crashes) = news.crashes.take() {
-            self.on_crashes(of, crashes);
+            self.on_peer_crashes(of, crashes);
         }
         if topic == Topic::Crashes {
             return;
@@ -166,13 +166,13 @@
         let steps = news.steps;
         let services: Vec<ServiceName> =
             news.maps.iter().map(|(service, _)| service.clone()).collect();
-        let changed = self.known.take_news(news, answered);
+        let changed = self.known.apply_update(news, answered);
         // Only now: a host that asks in between would take what was known before for as new as these.
-        self.heard.on_news(told, steps);
+        self.contact.on_update(told, steps);
         self.on_changed(changed);
-        self.tell_known_to();
+        self.publish_freshness();
         for service in services {
-            self.on_heard_map(&service);
+            self.on_peer_map(&service);
         }
     }
 
@@ -182,14 +182,14 @@
             return;
         }
         if changed.hosts {
-            self.drawn.clear();
+            self.cold_assignments.clear();
         }
         self.publish();
         if changed.hosts {
             self.order_hosts();
         }
         if changed.config {
-            self.meet_services();
+            self.start_keyed_services();
         }
         if changed.servers {
             self.step_all(&Event::Tick);
@@ -211,7 +211,8 @@
     /// Cold servers, and this host's part in what they get: that of the hosts of their own failure domain, so that a cut between domains
     /// changes nothing of it.
     fn cold_servers(&mut self) -> BTreeMap<ServerId, ColdServer> {
-        let (bounds, drawn) = (self.settings.slow_start, std::mem::take(&mut self.drawn));
+        let (bounds, drawn) =
+            (self.settings.slow_start, std::mem::take(&mut self.cold_assignments));
         for (server, rate, until) in self.known.cold() {
             let share = Share::of(rate, &bounds);
             let is_sender = drawn.get(&server.id).map_or_else(
@@ -219,13 +220,13 @@
                 |cold| cold.spacing.is_some(),
             );
             let spacing = is_sender.then_some(share.spacing);
-            self.drawn.insert(server.id.clone(), ColdServer { until, spacing });
+            self.cold_assignments.insert(server.id.clone(), ColdServer { until, spacing });
         }
-        self.drawn.clone()
+        self.cold_assignments.clone()
     }
 
     /// A host that grants looks whether others have heard of a successor of its. For any other the map says nothing that it acts on here.
-    fn on_heard_map(&mut self, service: &ServiceName) {
+    fn on_peer_map(&mut self, service: &ServiceName) {
         let leads = self.granting.get(service).is_some_and(|granting| granting.grantor.leads());
         let map = self.known.map(service).filter(|_| leads).cloned();
         if let Some(map) = map {
