--- a/crates/jacinthbeam-range/src/grantor/action.rs
+++ b/crates/jacinthbeam-range/src/grantor/action.rs
@@ -1,4 +1,4 @@
-//! What a grantor wants done.
+//! Outputs of a [`Grantor`](super::Grantor).
 
 use std::time::{Duration, Instant};
 
@@ -9,61 +9,65 @@
     map::{Leader, Map, Owner},
 };
 
-/// What is to be done.
+/// Something that the host must do for its grantor.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Keep this map in the store if the newest record is still the one that was read last.
+    /// Append this map to the store, on the condition that the newest record is still the one that
+    /// was read last.
     Record(Map),
     /// Ask the store whether the newest record is still the same.
     Check,
-    /// Grant ranges to their owner, one call after the other.
+    /// Send grants to one owner, one call after the other.
     Grant {
-        /// Who gets them.
+        /// The owner.
         to: Owner,
-        /// The ranges.
+        /// What to grant.
         grants: Vec<RangeGrant>,
-        /// The connection that they may go over, named by when it was open; nothing is sent over another, which is opened and told of
-        /// instead ([`Outcome::Opened`](super::Outcome::Opened)).
+        /// The connection to send them over, identified by the time at which it was known to be
+        /// open. Nothing may be sent over any other: a new one is opened instead and reported as
+        /// [`Outcome::Opened`](super::Outcome::Opened).
         connection: Option<Instant>,
-        /// No call may be sent later than this, on a clock that counts suspension.
+        /// No call may be sent later than this, on a clock that keeps running while the host is
+        /// suspended.
         until: Instant,
     },
     /// Take a range back from its owner.
     Release {
-        /// Who gives it back.
+        /// The present owner.
         from: Owner,
         /// The keys.
         range: KeyRange,
         /// A token above that of the grant.
         token: Token,
     },
-    /// Tell the host that leads now that this one has stopped, so that it need not wait for the end of this one's right.
+    /// Notify the present leader that this host has stopped granting, so that it need not wait
+    /// until this host's right to grant expires.
     NotifySuccessor {
-        /// Who leads.
+        /// The present leader.
         to: Leader,
-        /// The epoch in which this one led.
+        /// The epoch in which this host led.
         epoch: Epoch,
-        /// For how long hosts that led before this one may still renew.
+        /// For how long this host's own predecessors may still renew.
         others_left: Duration,
     },
-    /// Tell all hosts that this one has stopped: the store took no record that says so.
+    /// Notify all hosts that this one has stopped granting, because no record in the store says so.
     BroadcastStopped {
-        /// The epoch in which it led.
+        /// The epoch in which this host led.
         epoch: Epoch,
-        /// For how long hosts that led before this one may still renew.
+        /// For how long this host's own predecessors may still renew.
         others_left: Duration,
     },
-    /// Give the duty back: most owners can't be reached from here.
+    /// Give the duty back, since most owners can't be reached from this host.
     Resign,
 }
 
-/// One grant.
+/// The grant of one range.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RangeGrant {
     /// The keys.
     pub range: KeyRange,
-    /// Its token.
+    /// Fencing token of the grant.
     pub token: Token,
-    /// What the last owner handed over, on the first grant only.
+    /// What the previous owner handed over; only on the first grant.
     pub handover: Option<String>,
 }
--- a/crates/jacinthbeam-range/src/grantor/event.rs
+++ b/crates/jacinthbeam-range/src/grantor/event.rs
@@ -1,4 +1,4 @@
-//! What a grantor is told.
+//! Inputs of a [`Grantor`](super::Grantor).
 
 use std::time::{Duration, Instant};
 
@@ -11,73 +11,74 @@
     map::{Leader, Map},
 };
 
-/// What has happened.
+/// Something that happened.
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// The store's group gave this host the duty to grant, or took it away. Advice only: it may name two hosts at a time.
+    /// The store's consumer group assigned the duty to grant to this host, or revoked it. Advisory
+    /// only: two hosts may have it at the same time.
     Duty(bool),
-    /// The newest record as read from the store.
+    /// The newest record was read from the store.
     Read {
-        /// When the read was sent. Nothing newer was there at some moment after that.
+        /// When the read was sent. At some moment after that there was nothing newer.
         sent_at: Instant,
         /// The record; `None` if there is none.
         map: Option<Map>,
     },
-    /// The record of the last [`Action::Record`](super::Action::Record) is kept. The append was sent at `asked`.
+    /// The record of the last [`Action::Record`](super::Action::Record) was kept.
     Recorded {
-        /// Nobody had replaced this host at some moment after that.
+        /// When the append was sent. At some moment after that nobody had replaced this host.
         sent_at: Instant,
     },
-    /// That record was surely not kept, or it isn't known. The newest one is read next.
+    /// That record was rejected, or its result is unknown. The newest record is read next.
     NotRecorded,
-    /// A round of grants has ended.
+    /// A round of grants to one server has ended.
     Granted {
-        /// Who was granted.
+        /// The server.
         server: ServerId,
-        /// How it ended.
+        /// How the round ended.
         outcome: Outcome,
-        /// End of the last call that may have had an effect.
+        /// End of the last call that may have taken effect.
         last_call: Option<Instant>,
-        /// What the server confirmed.
+        /// Grants that the server confirmed.
         confirmed: Vec<(KeyRange, Token)>,
-        /// What it refused, since it has seen a higher token for one of the keys.
+        /// Ranges that the server refused because it has seen a higher token for one of their keys.
         refused: Vec<KeyRange>,
     },
-    /// A release was answered with what to hand over, if anything; `Err` if no answer came.
+    /// A release has ended.
     Released {
-        /// The keys.
+        /// The released keys.
         range: KeyRange,
         /// Token of the release.
         token: Token,
-        /// What the old owner gave out, or no answer.
+        /// What the old owner hands over to the next one, if anything; `Err` if it gave no answer.
         handover: Result<Option<String>, NoAnswer>,
     },
-    /// Counts of one host.
+    /// A host reported its load.
     Load {
-        /// The host.
+        /// The reporting host.
         from: HostId,
-        /// Its counts since its last report.
+        /// Its counts since its previous report.
         report: LoadReport,
     },
-    /// Another host knows this record. It may be older than what is known here.
+    /// A peer has this map. It may be older than the one known here.
     PeerMap(Map),
-    /// A host that led sends no grant of that epoch any more.
+    /// A host that led sends no more grants of that epoch.
     PeerStopped {
-        /// It.
+        /// The host's process.
         leader: Leader,
         /// The epoch in which it led. It may have led again since.
         epoch: Epoch,
-        /// For how long hosts that led before it may still renew.
+        /// For how long its own predecessors may still renew.
         others_left: Duration,
     },
     /// Time has passed.
     Tick,
-    /// This process is about to stop.
+    /// This process has begun to shut down.
     ShutdownStarted,
-    /// It stops now.
+    /// This process exits now.
     Exit,
 }
 
-/// A call got no answer that could be trusted.
+/// A call got no trustworthy answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct NoAnswer;
--- a/crates/jacinthbeam-range/src/grantor/leading/majority.rs
+++ b/crates/jacinthbeam-range/src/grantor/leading/majority.rs
@@ -1,12 +1,14 @@
-//! What a majority of the owners proves about hosts that lead, or led.
+//! What a majority of the owners proves about present and former leaders.
 //!
-//! Backend servers refuse tokens below the highest one that they have seen. They therefore can serve as the acceptors of a
-//! lease: a leader goes on renewing only for [`MAJORITY_VALID_FOR`] after more than half of the owners took its grants (or the store
-//! confirmed it), and a successor whose grants were taken by more than half of the same owners knows that the predecessor has no
-//! majority from then on. Any two majorities share a server, and that one refuses the predecessor.
+//! Backend servers refuse tokens below the highest one that they have seen, so they can act as the
+//! acceptors of a lease. A leader goes on renewing only for [`MAJORITY_VALID_FOR`] after more than
+//! half of the owners accepted its grants, or after the store confirmed it. A successor whose
+//! grants were accepted by more than half of the same owners knows that the predecessor has no
+//! majority from then on: any two majorities share a server, and that one refuses the predecessor.
 //!
-//! Without it a successor that hears nothing of its predecessor has to wait for [`CONFIRMATION_VALID_FOR`] before it may count on the end of
-//! any hold, and the keys of a server that died at about the same time stay unserved for that long.
+//! Without this rule a successor that receives nothing from its predecessor would have to wait for
+//! [`CONFIRMATION_VALID_FOR`] before it may rely on the end of any hold, and the keys of a server
+//! that died at about the same time would be unserved for that long.
 
 use std::{collections::BTreeSet, time::Instant};
 
@@ -18,24 +20,25 @@
     map::{Assignment, Map},
 };
 
-/// How a leader learns that nobody before it can renew any more.
+/// Tracks whether a majority has fenced off every earlier leader, so that none of them can renew
+/// any more.
 #[derive(Debug)]
 pub(super) struct Fence {
-    /// For each that may, the owners that its majorities are taken from.
+    /// For each earlier leader that may still renew, the owners that its majorities consist of.
     rivals: Vec<BTreeSet<ServerId>>,
-    /// Servers that take no grant of theirs any more.
-    done: BTreeSet<ServerId>,
+    /// Servers that refuse the grants of all earlier leaders.
+    refusing: BTreeSet<ServerId>,
 }
 
 impl Fence {
-    /// Looks for a majority against each rival that the first map of this leader names.
+    /// A fence against each rival named by the first map of this leader.
     pub(super) fn of(map: &Map) -> Self {
-        Self { rivals: map.rivals.clone(), done: BTreeSet::new() }
+        Self { rivals: map.rivals.clone(), refusing: BTreeSet::new() }
     }
 
     fn is_complete(&self) -> bool {
         let has_most = |owners: &BTreeSet<ServerId>| {
-            owners.intersection(&self.done).count() * 2 > owners.len()
+            owners.intersection(&self.refusing).count() * 2 > owners.len()
         };
         self.rivals.iter().all(has_most)
     }
@@ -44,15 +47,15 @@
 impl Leading {
     /// Until when grants may be sent.
     pub(super) fn may_grant_until(&self) -> Instant {
-        let seen =
+        let confirmed_or_accepted =
             self.majority_accepted_at().map_or(self.confirmed_at, |at| at.max(self.confirmed_at));
-        (seen + MAJORITY_VALID_FOR).min(self.confirmed_at + CONFIRMATION_VALID_FOR)
+        (confirmed_or_accepted + MAJORITY_VALID_FOR).min(self.confirmed_at + CONFIRMATION_VALID_FOR)
     }
 
-    /// The latest time after which more than half of the owners took a grant that was sent then or later.
+    /// The latest time such that more than half of the owners accepted a grant sent at or after it.
     ///
-    /// Of the records that may be the newest one the worst counts, since a successor takes its majority from the one that was
-    /// kept.
+    /// Of all records that may be the newest one, the least favourable counts, since a successor
+    /// takes its majority from the one that was kept.
     fn majority_accepted_at(&self) -> Option<Instant> {
         let maps = std::iter::once(&self.map).chain(&self.pending_record).chain(&self.in_doubt);
         let times = maps.map(|map| self.majority_accepted_in(map));
@@ -62,8 +65,8 @@
     fn majority_accepted_in(&self, map: &Map) -> Option<Instant> {
         let servers = map.assignments().iter().filter_map(|held| held.owner.as_ref());
         let owners: BTreeSet<&ServerId> = servers.map(|owner| &owner.server).collect();
-        let taken = |id: &&ServerId| self.owners.get(*id).and_then(|state| state.accepted_at());
-        let mut times: Vec<Instant> = owners.iter().filter_map(taken).collect();
+        let accepted = |id: &&ServerId| self.owners.get(*id).and_then(|state| state.accepted_at());
+        let mut times: Vec<Instant> = owners.iter().filter_map(accepted).collect();
         times.sort_unstable_by(|a, b| b.cmp(a));
         times.get(owners.len() / 2).copied()
     }
@@ -75,28 +78,32 @@
             return;
         }
         let servers: BTreeSet<&ServerId> = fence.rivals.iter().flatten().collect();
-        let refuse = servers.into_iter().filter(|id| self.refuses_predecessors(id));
-        let refuse: Vec<ServerId> = refuse.cloned().collect();
-        fence.done.extend(refuse);
+        let newly_refusing = servers.into_iter().filter(|id| self.refuses_predecessors(id));
+        let newly_refusing: Vec<ServerId> = newly_refusing.cloned().collect();
+        fence.refusing.extend(newly_refusing);
         if !fence.is_complete() {
             self.fence = Some(fence);
             return;
         }
-        // The last majority of each rival is older than this moment, and its last call was sent within that majority's time.
+        // The last majority of each rival lies before this moment, and the last call that it
+        // permits was sent within [`MAJORITY_VALID_FOR`] of it.
         let ends = now + MAJORITY_VALID_FOR + MAX_CALL_TIME + MARGIN;
         self.predecessors_until = self.predecessors_until.min(ends);
     }
 
     /// Whether a server has confirmed all that it holds by the map, under this leader's tokens.
     ///
-    /// A predecessor renews all that its own map gives to the server. The server refuses each part of it that the present map
-    /// still has, since it has taken a higher token for it. A part that has moved away meanwhile is refused as well if the
-    /// server answered the release, which bore a higher token; without an answer the part stays in the map, and has to be
-    /// confirmed, until `others_until` has passed, when this is no longer asked (`free_lapsed`). So moves under way need no
-    /// rule of their own here.
+    /// A predecessor renews all that its own map assigns to the server. The server refuses each
+    /// part of it that the present map still assigns to it, since it has accepted a higher token
+    /// for that part. A part that has moved away meanwhile is refused as well if the server
+    /// answered the release, which carried a higher token. Without an answer the part stays in the
+    /// map and must be confirmed until `predecessors_until` has passed, when this check is no
+    /// longer needed (`free_lapsed`). Moves in progress therefore need no rule of their own here.
     ///
-    /// A server that has started again under its name counts by what its present life has confirmed: the predecessor reaches that life
-    /// only if it was there before this leader's first grants ([`OwnerState::is_connection_confirmed`](crate::grantor::owner_state::OwnerState::is_connection_confirmed)).
+    /// A server that has restarted under its name counts by what its present incarnation has
+    /// confirmed: the predecessor reaches that incarnation only if it was there before this
+    /// leader's first grants
+    /// ([`OwnerState::is_connection_confirmed`](crate::grantor::owner_state::OwnerState::is_connection_confirmed)).
     fn refuses_predecessors(&self, id: &ServerId) -> bool {
         self.incarnations_of(id).any(|state| {
             let mut held = self.map.owned_by(&state.owner.server).peekable();
@@ -106,16 +113,17 @@
     }
 }
 
-/// Records whose fate is not known until a later one is kept.
+/// Records that may or may not have been kept. A later record that is kept resolves them.
 ///
-/// They follow the same record and so bear the same version. Kept by version, the last one of them would hide the others, and the
-/// owners that only the first one names would not be asked for their word.
+/// They all follow the same record and therefore have the same version. If they were stored by
+/// version, the last one would replace the others, and owners named only by the first one would be
+/// left out of the majorities.
 #[derive(Debug, Default)]
 pub(super) struct InDoubtRecords(Vec<Map>);
 
 impl InDoubtRecords {
     pub(super) fn add(&mut self, map: Map) {
-        // The same record is tried again several times a second for as long as the store takes none.
+        // While the store accepts none, the same record is retried several times a second.
         if !self.0.contains(&map) {
             self.0.push(map);
         }
--- a/crates/jacinthbeam-range/src/grantor/leading/mod.rs
+++ b/crates/jacinthbeam-range/src/grantor/leading/mod.rs
@@ -1,4 +1,4 @@
-//! The state of a host that leads, and what it does at a tick.
+//! State of a host while it leads, and what it does at a tick.
 
 mod majority;
 mod plan;
@@ -27,36 +27,38 @@
     map::{Leader, Map, Owner},
 };
 
-/// Pause between two questions for a confirmation if the last one got no answer.
+/// Delay before the store is asked again for a confirmation if the last request got no answer.
 const CHECK_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Owners below which their silence says nothing of this host's own links.
+/// With fewer owners than this, their silence does not indicate a fault of this host's own network.
 const MIN_OWNERS_TO_JUDGE: usize = 3;
 
-/// Time that a request takes, assumed before any answer was measured. Only the proportions between servers matter.
+/// Assumed duration of a request before any was measured. Only the proportions between servers
+/// matter.
 const ASSUMED_WORK: Duration = Duration::from_millis(200);
 
 #[derive(Debug)]
 pub(in crate::grantor) struct Leading {
-    /// The newest record, which names this process.
+    /// The newest record, which names this process as the leader.
     pub(in crate::grantor) map: Map,
     pub(in crate::grantor) demand: Demand,
-    /// When the read was sent that last confirmed the record.
+    /// When the read or append was sent by which the store last confirmed this leader.
     confirmed_at: Instant,
     last_check: Option<Instant>,
     /// Until then predecessors may have renewed grants.
     predecessors_until: Instant,
-    /// They.
+    /// The leaders that this one replaces.
     predecessors: Vec<Leader>,
     /// Set until most owners refuse each predecessor.
     fence: Option<Fence>,
-    /// The record that is being written.
+    /// The record that is being appended.
     pending_record: Option<Map>,
-    /// Earlier ones that may still be kept.
+    /// Earlier records that may still be kept.
     in_doubt: InDoubtRecords,
-    /// When a record was last not kept, as far as is known.
+    /// When an append last failed or went unanswered.
     record_failed_at: Option<Instant>,
-    /// The last token given out. Kept apart from the map, since moves take tokens while a record is being written.
+    /// The highest token given out. Kept apart from the map, since moves take tokens while a record
+    /// is being appended.
     token: Token,
     owners: BTreeMap<ServerId, OwnerState>,
     moves: Vec<PendingMove>,
@@ -93,11 +95,12 @@
         }
     }
 
-    /// A read found a record of this process: the present one, or one whose acknowledgement was lost.
+    /// A read found a record of this process: the present one, or one whose acknowledgement was
+    /// lost.
     pub(in crate::grantor) fn on_own_record(&mut self, sent_at: Instant, map: Map) {
         self.confirmed_at = self.confirmed_at.max(sent_at);
         if map.is_older_than(&self.map) {
-            // A read that was sent before the last record was kept.
+            // The read was sent before the last record was kept.
             return;
         }
         if self.pending_record.as_ref() == Some(&map) {
@@ -122,7 +125,7 @@
         }
     }
 
-    /// The record was not kept, or may be kept later.
+    /// The record was rejected, or its result is unknown and it may be kept later.
     pub(in crate::grantor) fn on_not_recorded(&mut self, now: Instant) {
         self.record_failed_at = Some(now);
         if let Some(map) = self.pending_record.take() {
@@ -130,7 +133,7 @@
         }
     }
 
-    /// Takes a record over as the one in force. Moves that it contains are done.
+    /// Puts a record in force. Moves that it contains are complete.
     fn adopt(&mut self, map: Map) {
         self.map = map;
         let map = &self.map;
@@ -152,7 +155,8 @@
         self.predecessors_until
     }
 
-    /// The predecessor has stopped, so that only calls that it had sent before may arrive, and those of hosts before it.
+    /// A predecessor has stopped: only calls that it sent before may still arrive, and those of its
+    /// own predecessors.
     pub(in crate::grantor) fn on_stopped(&mut self, leader: &Leader, epoch: Epoch, until: Instant) {
         let is_last = epoch.next() == self.map.epoch;
         if is_last && self.predecessors == std::slice::from_ref(leader) {
@@ -160,7 +164,7 @@
         }
     }
 
-    /// Goes on renewing, and asks the store whether it is back.
+    /// Continues to renew, and checks whether the store is reachable again.
     pub(in crate::grantor) fn keep_renewing(&mut self, view: View<'_>) -> Vec<Action> {
         self.track_owners();
         self.give_up_lost(view.now);
@@ -191,10 +195,11 @@
         self.refused.extend(refused);
     }
 
-    /// Asks for the confirmation that new connections wait for, once none is being opened any more.
+    /// Requests the confirmation that new connections wait for, once no more connections are being
+    /// opened.
     pub(in crate::grantor) fn check_new_connections(&mut self, now: Instant) -> Option<Action> {
-        let opening = self.owners.values().any(OwnerState::is_connecting);
-        if opening { None } else { self.check(now) }
+        let is_connecting = self.owners.values().any(OwnerState::is_connecting);
+        if is_connecting { None } else { self.check(now) }
     }
 
     pub(in crate::grantor) fn on_released(
@@ -203,7 +208,7 @@
         token: Token,
         handover: Result<Option<String>, NoAnswer>,
     ) {
-        // Without an answer time alone frees the range.
+        // Without an answer only the end of the hold frees the range.
         let Ok(handover) = handover else { return };
         let moving = self.moves.iter_mut().find(|m| m.range == range && m.token == token);
         if let Some(moving) = moving {
@@ -211,12 +216,12 @@
         }
     }
 
-    /// Whether a server may be given keys: it is not known to be lost or silent.
+    /// Whether a server may be assigned keys: it is not known to be lost or silent.
     pub(in crate::grantor) fn is_usable(&self, server: &ServerId) -> bool {
         self.owners.get(server).is_none_or(OwnerState::is_responsive)
     }
 
-    /// Mean time of a request over the servers that were measured.
+    /// Mean duration of a request over the servers for which it was measured.
     pub(in crate::grantor) fn mean_work(
         &self,
         servers: &Servers,
@@ -258,7 +263,7 @@
         self.cooling_down.retain(|(until, _)| *until > view.now);
     }
 
-    /// Keeps a contact for every owner, and for those that ranges come from or go to.
+    /// Keeps a state for every owner and for the sources and targets of moves.
     fn track_owners(&mut self) {
         let new: BTreeSet<Owner> = self
             .map
@@ -277,10 +282,11 @@
         self.owners.retain(|id, state| state.round_in_flight || needed.contains(id));
     }
 
-    /// Begins to deal with an owner.
+    /// Adds the state of a new owner.
     ///
-    /// Until the record that names this life was kept, grants to an earlier one went to whoever answered to the name, each over another
-    /// connection under a higher token than before. Those may be above the token of the record.
+    /// Until the record that names this incarnation was kept, grants to an earlier one went to
+    /// whichever process answered under the name, over a new connection and under a higher token
+    /// each time. Those tokens may be above the token of the record.
     fn track_owner(&mut self, owner: Owner) {
         let id = owner.server.clone();
         let has_other_incarnation = self.incarnations_of(&id).next().is_some();
@@ -291,11 +297,13 @@
         self.owners.insert(id, state);
     }
 
-    /// All lives under the name of a server that this leader has dealings with.
+    /// All tracked incarnations that share the name of a server.
     fn incarnations_of(&self, id: &ServerId) -> impl Iterator<Item = &OwnerState> {
         let first = ServerId::from(id.name().clone());
-        let incarnations =
-            self.owners.range(first..).take_while(|(life, _)| life.name() == id.name());
+        let incarnations = self
+            .owners
+            .range(first..)
+            .take_while(|(incarnation, _)| incarnation.name() == id.name());
         incarnations.map(|(_, state)| state)
     }
 
@@ -305,22 +313,23 @@
         }
     }
 
-    /// Goes on with servers that have come back while the record still names them.
+    /// Resumes grants to servers that have returned while the record still names them.
     ///
-    /// Without it the keys of a failure domain that was cut off for a few seconds stay without a server until holds have run out that
-    /// ended when the cut did. A record that may give them to another server, and is on its way or in doubt, forbids it: both would hold
-    /// them.
+    /// Otherwise the keys of a failure domain that was cut off for a few seconds would stay unserved
+    /// after the cut, until the holds that this leader waits for have expired. It is not allowed
+    /// while a record is being appended or in doubt: that record may give the keys to another
+    /// server, and both would hold them.
     fn resume_returned(&mut self, servers: &Servers) {
-        let no_record_open = self.pending_record.is_none() && self.in_doubt.is_empty();
+        let records_resolved = self.pending_record.is_none() && self.in_doubt.is_empty();
         for state in self.owners.values_mut() {
             let back = state.is_back(servers.takes_work(&state.owner.server));
-            if back && no_record_open {
+            if back && records_resolved {
                 state.resume();
             }
         }
     }
 
-    /// Whether more than half of the owners gave no answer although they are listed.
+    /// Whether more than half of the owners are silent although they are listed.
     pub(in crate::grantor) fn reaches_too_few(&self, view: View<'_>) -> bool {
         let listed = |c: &&OwnerState| !c.ended && view.servers.takes_work(&c.owner.server);
         let lost = self.owners.values().filter(listed).filter(|c| c.given_up).count();
@@ -328,22 +337,25 @@
     }
 
     fn check(&mut self, now: Instant) -> Option<Action> {
-        let awaited =
+        let is_awaited =
             self.owners.values().any(|state| !state.is_connection_confirmed(self.confirmed_at));
-        let old = now.saturating_duration_since(self.confirmed_at) >= CHECK_EVERY;
-        // A store that answered the last question answers the next one too.
-        let answered = self.last_check.is_none_or(|at| self.confirmed_at >= at);
-        let pause =
-            if awaited && answered { CHECK_EVERY_WHILE_CONNECTING } else { CHECK_RETRY_DELAY };
+        let is_old = now.saturating_duration_since(self.confirmed_at) >= CHECK_EVERY;
+        // A store that answered the last request is expected to answer the next one.
+        let was_answered = self.last_check.is_none_or(|at| self.confirmed_at >= at);
+        let pause = if is_awaited && was_answered {
+            CHECK_EVERY_WHILE_CONNECTING
+        } else {
+            CHECK_RETRY_DELAY
+        };
         let is_recent = self.last_check.is_some_and(|at| now < at + pause);
-        if !(old || awaited) || is_recent {
+        if !(is_old || is_awaited) || is_recent {
             return None;
         }
         self.last_check = Some(now);
         Some(Action::Check)
     }
 
-    /// Asks the store for a confirmation, unless it was asked a moment ago.
+    /// Requests a confirmation from the store, unless one was requested a moment ago.
     fn check_again(&mut self, now: Instant) -> Option<Action> {
         if self.last_check.is_some_and(|at| now < at + CHECK_RETRY_DELAY && at > self.confirmed_at)
         {
--- a/crates/jacinthbeam-range/src/grantor/leading/plan.rs
+++ b/crates/jacinthbeam-range/src/grantor/leading/plan.rs
@@ -1,4 +1,4 @@
-//! Which ranges change their owner, and how far they are.
+//! Which ranges change their owner, and the progress of these moves.
 
 use std::time::Instant;
 
@@ -19,7 +19,7 @@
 };
 
 impl Leading {
-    /// Starts moves: off servers that leave, and off owners that have too much to do.
+    /// Starts moves off servers that leave and off overloaded owners.
     pub(super) fn plan(&mut self, view: View<'_>, service: &ServiceName) {
         let candidates = candidates(self, view, service);
         let leaving: Vec<KeyRange> = self
@@ -61,16 +61,17 @@
         }
     }
 
-    /// Whether the store takes records of this host, by the last word from it.
+    /// Whether the store accepts records of this host, as far as is known.
     ///
-    /// While it takes none, keys that are taken off an owner that can serve them have none until it does, and all requests for them are
-    /// refused; a busy owner answers a part.
+    /// While it accepts none, keys taken off an owner that could serve them would have no owner
+    /// until it does, and all requests for them would be refused; an overloaded owner still answers
+    /// some.
     fn store_accepts_records(&self) -> bool {
         self.pending_record.is_none()
             && self.record_failed_at.is_none_or(|at| self.confirmed_at >= at)
     }
 
-    /// The map as it will be when all moves are done.
+    /// The map after all moves in progress.
     pub(super) fn expected(&self) -> Map {
         let mut map = self.map.clone();
         for moving in &self.moves {
@@ -79,15 +80,15 @@
         map
     }
 
-    /// Whether the owner can still be asked to give the range up, and should be.
+    /// Whether the owner should give the range up and can still be asked to.
     pub(super) fn is_leaving(&self, held: &Assignment, servers: &Servers) -> bool {
         let Some(owner) = &held.owner else { return false };
         let id = &owner.server;
         if servers.takes_work(id) || !self.is_usable(id) {
             return false;
         }
-        // Keys of a server that has started again under its name go to its present life.
-        servers.successor_of(id).is_none_or(|life| life.draining)
+        // Keys of a server that restarted under its name go to its present incarnation.
+        servers.successor_of(id).is_none_or(|incarnation| incarnation.draining)
     }
 
     pub(super) fn is_moving(&self, range: KeyRange) -> bool {
@@ -103,8 +104,8 @@
         }
     }
 
-    /// Releases of ranges whose owner has no renewal under way. A range that moves is renewed no more, so that its last grant arrived before
-    /// this.
+    /// Orders the release of ranges whose owner has no renewal in flight. A range that is being
+    /// moved is no longer renewed, so its last grant arrived before this.
     pub(super) fn releases(&mut self, now: Instant) -> Vec<Action> {
         let mut actions = Vec::new();
         for moving in &mut self.moves {
--- a/crates/jacinthbeam-range/src/grantor/leading/record.rs
+++ b/crates/jacinthbeam-range/src/grantor/leading/record.rs
@@ -1,4 +1,4 @@
-//! What the next record says.
+//! Contents of the next record.
 
 use std::time::Instant;
 
@@ -30,7 +30,8 @@
         let changed = self.reassign_lapsed(&mut map, view, service) || changed;
         let changed = self.raise_refused_tokens(&mut map) || changed;
         let changed = self.clear_rivals(&mut map, view.now) || changed;
-        // One more record tells whether those in doubt were kept, and nothing can be done about their keys before that.
+        // One more record resolves those in doubt, and until then nothing can be done about their
+        // keys.
         let changed = changed || !self.in_doubt.is_empty();
         if !changed {
             return None;
@@ -41,8 +42,9 @@
         Some(Action::Record(map))
     }
 
-    /// Whether the next record may say anything else than the last one. Most looks find nothing; a copy of 1,100 ranges for each
-    /// of them took a tenth of what ten seconds of granting take.
+    /// Whether the next record may differ from the last one. Most passes change nothing, and
+    /// copying a map of 1,100 ranges in each of them took a tenth of the time of ten seconds of
+    /// granting.
     fn may_have_changes(&self, view: View<'_>) -> bool {
         let is_free = |moving: &PendingMove| matches!(moving.stage, Stage::Free(_));
         let is_lost = |state: &OwnerState| state.given_up || state.ended;
@@ -57,7 +59,8 @@
             || has_unowned()
     }
 
-    /// Says once that nobody before this leader can renew any more, so that a successor has only this one to wait for.
+    /// Records once that none of this leader's predecessors can renew any more, so that a successor
+    /// has only this leader to wait for.
     fn clear_rivals(&self, map: &mut Map, now: Instant) -> bool {
         let is_stale = !map.rivals.is_empty() && now >= self.predecessors_until;
         if is_stale {
@@ -77,17 +80,19 @@
         changed
     }
 
-    /// Gives the keys of a server that has started again under its name to the present life, under a new token.
+    /// Assigns the keys of a server that restarted under its name to the present incarnation, under
+    /// a new token.
     ///
-    /// Nobody waits for the end of a hold: grants to either life go to whoever answers to the name, so only the present life can have
-    /// taken one, and it is the one that gets the keys.
+    /// This doesn't wait for the end of a hold: grants to either incarnation go to whichever
+    /// process answers under the name, so only the present one, which gets the keys, can have
+    /// accepted any.
     pub(super) fn assign_to_successors(&mut self, map: &mut Map, servers: &Servers) -> bool {
         let ids: Vec<ServerId> = self.owners.keys().cloned().collect();
         let mut changed = false;
         for id in ids {
-            let life = servers.successor_of(&id).filter(|life| !life.draining);
-            let Some(life) = life else { continue };
-            let owner = Owner { server: life.id.clone(), addr: life.addr };
+            let present = servers.successor_of(&id).filter(|present| !present.draining);
+            let Some(present) = present else { continue };
+            let owner = Owner { server: present.id.clone(), addr: present.addr };
             let ranges: Vec<KeyRange> = self.map.owned_by(&id).map(|held| held.range).collect();
             let free: Vec<KeyRange> = ranges.into_iter().filter(|r| !self.is_moving(*r)).collect();
             for range in free {
@@ -105,7 +110,7 @@
         service: &ServiceName,
     ) -> bool {
         let mut lapsed = self.lapsed(view.now);
-        // These have gone to the present life of their server.
+        // The others were assigned to the present incarnation of their server.
         lapsed.retain(|range| self.map.lookup(range.first).owner == map.lookup(range.first).owner);
         if lapsed.is_empty() {
             return false;
@@ -127,7 +132,7 @@
         true
     }
 
-    /// A token above the refused one, for the same owner.
+    /// Assigns refused ranges to the same owners under a token above the refused one.
     pub(super) fn raise_refused_tokens(&mut self, map: &mut Map) -> bool {
         let refused = std::mem::take(&mut self.refused);
         let open: Vec<KeyRange> =
@@ -145,7 +150,7 @@
         true
     }
 
-    /// Joins neighbouring ranges of one owner under a new token, once there are many ranges.
+    /// Merges neighbouring ranges of one owner under a new token, once there are many ranges.
     pub(super) fn merge_neighbours(&mut self, map: &mut Map) {
         map.merge_adjacent();
         if map.assignments().len() <= MERGE_ABOVE_RANGES_PER_OWNER * self.owners.len() {
@@ -167,13 +172,13 @@
         }
     }
 
-    /// Ranges of lost servers whose holds have run out. Nobody has them.
+    /// Ranges without an owner, and those of lost servers whose holds have expired.
     pub(super) fn lapsed(&self, now: Instant) -> Vec<KeyRange> {
         let free = |held: &&Assignment| {
             let Some(owner) = &held.owner else { return true };
             self.owners.get(&owner.server).is_some_and(|state| {
-                let lost = state.given_up || state.ended;
-                lost && state.has_lapsed(now, self.predecessors_until)
+                let is_lost = state.given_up || state.ended;
+                is_lost && state.has_lapsed(now, self.predecessors_until)
             })
         };
         let ranges = self.map.assignments().iter().filter(free).map(|held| held.range);
--- a/crates/jacinthbeam-range/src/grantor/leading/renew.rs
+++ b/crates/jacinthbeam-range/src/grantor/leading/renew.rs
@@ -1,4 +1,4 @@
-//! Grants: renewals, and first ones of ranges that have come.
+//! Grants: renewals, and first grants of newly assigned ranges.
 
 use std::{collections::BTreeMap, time::Instant};
 
@@ -17,10 +17,11 @@
         now < self.may_grant_until()
     }
 
-    /// What all owners should be granted now.
+    /// All grants that are due.
     ///
-    /// The right is worked out once a pass, since that looks at every owner itself. Worked out once for each owner, it took the
-    /// busiest of 100 hosts 35 to 55 % of its processor in place of 18 %, and the busiest of 31 hosts 22 % in place of 7 %.
+    /// `may_grant_until` is computed once per pass, since it iterates over all owners itself.
+    /// Computed once per owner, it took the busiest of 100 hosts 35 to 55 % of its processor in
+    /// place of 18 %, and the busiest of 31 hosts 22 % in place of 7 %.
     pub(super) fn grants(&mut self, now: Instant) -> Vec<Action> {
         let until = self.may_grant_until();
         if now >= until {
@@ -39,7 +40,7 @@
             .collect()
     }
 
-    /// What one server should be granted now.
+    /// The grants that are due to one server.
     pub(in crate::grantor) fn grant(&mut self, server: &ServerId, now: Instant) -> Option<Action> {
         if !self.owners.get(server).is_some_and(|state| self.may_begin(state)) {
             return None;
@@ -53,7 +54,7 @@
         self.begin(server, grants, now, until)
     }
 
-    /// The calls of a round to one server, if any is due.
+    /// The grants of a round to one server, if any is due.
     fn round(
         &self,
         server: &ServerId,
@@ -64,7 +65,7 @@
         (!grants.is_empty()).then(|| (server.clone(), grants))
     }
 
-    /// Begins a round. The right to grant lasts until `until`.
+    /// Begins a round. Grants may be sent until `until`.
     fn begin(
         &mut self,
         server: &ServerId,
@@ -82,7 +83,8 @@
         })
     }
 
-    /// What to grant to one server now: all its ranges if a renewal is due, else those it has not confirmed.
+    /// What to grant to one server now: all its ranges if a renewal is due, otherwise the ranges
+    /// that it has not confirmed.
     pub(super) fn grants_due(
         &self,
         state: &OwnerState,
@@ -92,14 +94,14 @@
         if !self.may_begin(state) {
             return Vec::new();
         }
-        let due = state.is_due(now);
+        let is_due = state.is_due(now);
         let mut grants = Vec::new();
         for held in held {
             for range in self.unmoved_parts(held.range) {
-                let new = !state.has_confirmed(range, held.token);
-                if due || (new && state.accepts_new_ranges()) {
-                    let first = new && state.is_newer_than_connection(held.token);
-                    let handover = held.handover.clone().filter(|_| first);
+                let is_new = !state.has_confirmed(range, held.token);
+                if is_due || (is_new && state.accepts_new_ranges()) {
+                    let is_first = is_new && state.is_newer_than_connection(held.token);
+                    let handover = held.handover.clone().filter(|_| is_first);
                     grants.push(RangeGrant { range, token: state.token(held.token), handover });
                 }
             }
@@ -107,7 +109,7 @@
         grants
     }
 
-    /// Whether a round of grants to a server may begin, if there is something to grant.
+    /// Whether a round of grants to a server may begin.
     fn may_begin(&self, state: &OwnerState) -> bool {
         state.is_connection_confirmed(self.confirmed_at)
             && !state.round_in_flight
@@ -115,7 +117,7 @@
             && !state.given_up
     }
 
-    /// What of a range is not on its way to another owner.
+    /// The parts of a range that are not being moved.
     pub(super) fn unmoved_parts(&self, range: KeyRange) -> Vec<KeyRange> {
         let moving = self.moves.iter().map(|m| m.range).filter(|moving| moving.overlaps(range));
         balance::subtract(range, &moving.collect::<Vec<_>>())
--- a/crates/jacinthbeam-range/src/grantor/mod.rs
+++ b/crates/jacinthbeam-range/src/grantor/mod.rs
@@ -1,9 +1,12 @@
-//! Decides, for one service, what the host that grants its keys does next.
+//! State machine that decides, for one service, what the host that grants its keys does next.
 //!
-//! At most one life of a process leads at a time: the one that the newest record names. It goes on only within [`timing::CONFIRMATION_VALID_FOR`]
-//! of the last confirmation by the store, and everything it changes is recorded in the store, on the condition that nothing
-//! else was, before a new owner hears of it. A leader that is replaced, cut off or suspended therefore can't name an owner,
-//! and its renewals are refused by servers that its successor has reached, or end with its last confirmation.
+//! At most one process incarnation leads at a time: the one named by the newest record in the
+//! store. A leader may grant only within [`timing::CONFIRMATION_VALID_FOR`] of the store's last
+//! confirmation that it has not been replaced. Every change of owner is first appended to the
+//! store, on the condition that nothing else was appended meanwhile, and only then granted to the
+//! new owner. A leader that was replaced, partitioned or suspended therefore cannot appoint an
+//! owner. Its renewals are refused by the servers that its successor has reached, and elsewhere end
+//! when its last confirmation expires.
 
 mod action;
 mod event;
@@ -34,53 +37,56 @@
     map::{Leader, Map, Owner},
 };
 
-/// What is known at the time of an event.
+/// What the grantor can see at the time of an event.
 #[derive(Debug, Clone, Copy)]
 pub struct View<'a> {
-    /// Now, on a clock that counts suspension.
+    /// Current time, on a clock that keeps running while the host is suspended.
     pub now: Instant,
-    /// The backend servers.
+    /// The listed backend servers.
     pub servers: &'a Servers,
-    /// Whether the list has been known and unchanged for a while, so that a first division is worth making.
+    /// Whether the list has been known and unchanged for a while, so that the first assignment of
+    /// keys is worth making.
     pub servers_stable: bool,
 }
 
-/// The part of one host in granting the keys of one service.
+/// One host's state in granting the keys of one service.
 #[derive(Debug)]
 pub struct Grantor {
     service: ServiceName,
     me: Leader,
     duty: bool,
-    /// When the word came that this process is about to stop.
+    /// When this process was told to shut down.
     stopping: Option<Instant>,
-    /// Whether a read has told what the newest record is.
+    /// Whether the newest record has been read from the store.
     has_read: bool,
     newest: Option<Map>,
     claim: Option<Claim>,
     next_claim: Option<Instant>,
     leading: Option<Leading>,
-    /// Records whose fate has not been told yet.
+    /// Number of appended records whose result has not arrived.
     ///
-    /// A record can be read back before the answer to its append arrives. If another were ordered by then, that answer would
-    /// be taken for the other's, and grants would follow from a map that the store may never keep: a successor, which reads
-    /// the store, would grant the same keys to their former owners. With one at a time, each answer has one meaning.
+    /// A record can be read back before the answer to its append arrives. If another one were
+    /// appended by then, the answer would be attributed to the wrong record, and grants would
+    /// follow from a map that the store may never keep. A successor, which reads the store, would
+    /// then grant the same keys to their former owners. With at most one record outstanding, each
+    /// answer is unambiguous.
     pending_records: u32,
     replaced: Option<Replaced>,
-    /// Hosts that said that they have stopped.
+    /// Hosts that reported that they no longer grant.
     stopped: Vec<Stopped>,
 }
 
-/// A claim that is on its way to the store, or whose fate is not known.
+/// A claim of leadership that is being appended, or whose result is unknown.
 #[derive(Debug)]
 struct Claim {
     map: Map,
-    /// Predecessors, which may go on renewing for as long as they have a confirmation from before the claim. More than one if
-    /// an earlier claim may be the one that is kept.
+    /// Predecessors, which may go on renewing for as long as they have a confirmation from before
+    /// the claim. More than one if an earlier claim may still turn out to be the one that was kept.
     predecessors: Vec<Leader>,
 }
 
 impl Grantor {
-    /// A grantor that knows nothing yet.
+    /// A grantor that has neither the duty nor read the store.
     pub fn new(service: ServiceName, me: Leader) -> Self {
         Self {
             service,
@@ -98,13 +104,13 @@
         }
     }
 
-    /// Whether this process leads, as far as it knows.
+    /// Whether this process leads, to its own knowledge.
     pub fn leads(&self) -> bool {
         self.leading.is_some()
     }
 
-    /// Which owners are asked for more than they should be sent, given the objective of the least urgent requests. Empty
-    /// unless this process leads.
+    /// Admission gates for owners with more demand than they should be sent, given the objective of
+    /// the least urgent requests. Empty unless this process leads.
     pub fn gates(&self, view: View<'_>, objective: Duration) -> BTreeMap<ServerId, Gate> {
         let Some(leading) = &self.leading else { return BTreeMap::new() };
         let mean = leading.mean_work(view.servers, &self.service);
@@ -117,24 +123,25 @@
         servers.filter_map(gate).collect()
     }
 
-    /// While this process leads, the time since the store confirmed its right.
+    /// Time since the store last confirmed this leader; `None` unless this process leads.
     pub fn confirmation_age(&self, now: Instant) -> Option<Duration> {
         let leading = self.leading.as_ref()?;
         Some(now.saturating_duration_since(leading.confirmed_at()))
     }
 
-    /// While this process leads and something is asked, requests of the busiest owner over the mean of all owners.
+    /// Load of the busiest owner over the mean of all owners; `None` unless this process leads and
+    /// there are requests.
     pub fn imbalance(&self) -> Option<f64> {
         let leading = self.leading.as_ref()?;
         balance::imbalance(&leading.map, &leading.demand.rates(&leading.map))
     }
 
-    /// The newest map known, also when others lead.
+    /// The newest map known, also when another host leads.
     pub fn map(&self) -> Option<&Map> {
         self.leading.as_ref().map(|leading| &leading.map).or(self.newest.as_ref())
     }
 
-    /// Takes an event and says what to do.
+    /// Handles an event and returns the actions that follow from it.
     pub fn step(&mut self, view: View<'_>, event: Event) -> Vec<Action> {
         if matches!(event, Event::Recorded { .. } | Event::NotRecorded) {
             self.pending_records = self.pending_records.saturating_sub(1);
@@ -152,10 +159,12 @@
             Event::Recorded { sent_at } => self.on_recorded(view, sent_at),
             Event::NotRecorded => self.on_not_recorded(view),
             Event::ShutdownStarted => self.stopping = Some(view.now),
-            Event::Exit => return self.end(view.now),
-            // These come hundreds of times a second from a large fleet, and a look at everything takes a time that grows with it: a
-            // host that granted 1,100 ranges heard of a configuration 3.9 s late, behind what it had to do for each answer. The next tick
-            // is soon enough for what they change, but for new ranges of the same server.
+            Event::Exit => return self.on_exit(view.now),
+            // The next three events arrive hundreds of times a second in a large fleet, and a full
+            // pass takes a time that grows with the fleet. A host that granted 1,100 ranges
+            // received a configuration 3.9 s late because it ran a full pass after each answer. The
+            // next tick is soon enough for what these events change, except for new ranges of the
+            // same server.
             Event::Load { from, report } => {
                 self.while_leading(|leading| leading.demand.add(&from, view.now, &report));
                 return Vec::new();
@@ -170,7 +179,7 @@
                 self.while_leading(|leading| leading.on_released(range, token, handover));
                 return Vec::new();
             }
-            Event::PeerMap(map) => self.on_heard(view, &map),
+            Event::PeerMap(map) => self.on_peer_map(view, &map),
             Event::PeerStopped { leader, epoch, others_left } => {
                 self.on_stopped(leader, epoch, view.now + others_left.max(timing::MAX_CALL_TIME));
             }
@@ -198,12 +207,15 @@
         }
     }
 
-    /// A host that the store turns away hears of its successor from others, seconds before its own right ends. Stopping is
-    /// always safe, whatever the source.
-    fn on_heard(&mut self, view: View<'_>, map: &Map) {
+    /// Steps down if another host already has a newer leader's map.
+    ///
+    /// A host whose access to the store fails learns of its successor from its peers, seconds
+    /// before its own right to grant expires. Stepping down is always safe, whatever the source of
+    /// the map.
+    fn on_peer_map(&mut self, view: View<'_>, map: &Map) {
         let newer = self.leading.as_ref().is_some_and(|leading| leading.map.epoch < map.epoch);
         if newer && !self.is_me(Some(map)) {
-            // What was read before is old: a claim needs another read.
+            // What was read before is outdated, so a new claim needs another read.
             self.has_read = false;
             self.step_down(view.now, map);
         }
@@ -224,13 +236,14 @@
             self.leading = None;
             return;
         };
-        // A process that has led before has left a record that names it too. Taken for the claim while that is on its way, it would lead on
-        // in the old epoch and give out its tokens anew, below those that servers still have.
+        // A process that has led before has left an older record that also names it. If that were
+        // taken for the pending claim, this process would lead in the old epoch and reissue its
+        // tokens, which are lower than those that servers already hold.
         let kept = self.claim.take_if(|claim| claim.map.epoch == newest.epoch);
         match (&mut self.leading, kept) {
             (Some(leading), _) => leading.on_own_record(sent_at, newest),
             (None, Some(claim)) => self.begin(view, sent_at, newest, &claim),
-            // Without a claim there is nothing to lead: this process has stopped.
+            // No claim is pending, so this process has stopped leading since.
             (None, None) => {}
         }
     }
@@ -242,8 +255,10 @@
         } else if let Some(claim) = self.claim.take() {
             let newer = self.newest.clone().filter(|newest| claim.map.is_older_than(newest));
             self.begin(view, sent_at, claim.map.clone(), &claim);
-            // Its successor's record was read before the answer to the claim came. Leading on, it would put its next record over that one, and
-            // two hosts would grant under tokens of two epochs. It grants nothing, and says so to the successor, which waits for it.
+            // The successor's record was read before the answer to this claim arrived. If this
+            // process kept leading, its next record would replace the successor's, and two hosts
+            // would grant under tokens of two epochs. It grants nothing and notifies the successor,
+            // which waits for it.
             match newer {
                 Some(newer) => self.step_down(view.now, &newer),
                 None => self.newest = Some(claim.map),
@@ -257,7 +272,7 @@
     }
 
     fn begin(&mut self, view: View<'_>, sent_at: Instant, map: Map, claim: &Claim) {
-        // A host that said that it has stopped may have had a call under way.
+        // A predecessor that recorded that it has stopped may still have a call in flight.
         let wait = if claim.predecessors.is_empty() {
             timing::MAX_CALL_TIME
         } else {
@@ -279,7 +294,7 @@
         if self.newest.is_none() && !self.divide(view, &mut map) {
             return None;
         }
-        // An earlier claim may still be kept late; what it would have replaced counts too.
+        // An earlier claim may still be kept late, so its predecessors count too.
         let mut predecessors = self.claim.take().map_or_else(Vec::new, |claim| claim.predecessors);
         predecessors.extend(map.leader.clone().filter(|leader| !predecessors.contains(leader)));
         map.begin_epoch(self.me.clone());
@@ -288,7 +303,8 @@
         Some(Action::Record(map))
     }
 
-    /// Divides the keys for the first time. Returns whether there was anyone to give them to.
+    /// Assigns the keys for the first time, in proportion to the servers' slots. Returns whether
+    /// there was any server to assign them to.
     fn divide(&self, view: View<'_>, map: &mut Map) -> bool {
         if !view.servers_stable {
             return false;
@@ -310,10 +326,10 @@
     }
 }
 
-/// The servers of a service that can be given keys, with what they can work off.
+/// The servers of a service that can be assigned keys, with their capacity.
 ///
-/// A cold server whose rate is bounded gets none while there are warm ones: its arrivals are the sum of what all hosts send, and a key may
-/// become hot at any moment.
+/// A cold server with a bounded rate is left out while there are others: it receives the sum of
+/// what all hosts send, and any key may become hot at any moment.
 fn candidates(leading: &Leading, view: View<'_>, service: &ServiceName) -> Vec<Candidate> {
     let servers = view.servers.of(service).filter(|server| leading.is_usable(&server.id));
     let (bounded, free): (Vec<&Server>, Vec<&Server>) =
@@ -331,7 +347,7 @@
     servers.into_iter().map(candidate).collect()
 }
 
-/// What a cold server is given: less than its share, and no more than it takes.
+/// Capacity of a cold server: a part of its warm capacity, and at most its cold rate.
 fn cold_capacity(server: &Server, warm: f64) -> f64 {
     let most = server.cold_rate.map_or(f64::INFINITY, Rate::per_second);
     (warm * balance::COLD_CAPACITY_SHARE).min(most)
--- a/crates/jacinthbeam-range/src/grantor/owner_state.rs
+++ b/crates/jacinthbeam-range/src/grantor/owner_state.rs
@@ -1,4 +1,4 @@
-//! What the granting host knows of one backend server that owns keys.
+//! What the leader knows about one backend server that owns keys.
 
 use std::{
     collections::BTreeSet,
@@ -13,52 +13,55 @@
 /// How a round of grants to one server ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// Every call was answered by the server.
+    /// The server answered every call.
     Answered,
     /// A call got no answer.
     Silent,
-    /// Another life of a server answered at the address: this one has ended.
+    /// Another incarnation of a server answered at the address: this one has ended.
     Ended,
-    /// The right to send had lapsed; the rest of the calls was not sent.
+    /// The right to grant had expired, and the remaining calls were not sent.
     NotSent,
-    /// The connection that the calls were meant for is gone, or there was none. Another one was open from then on, and none of the
-    /// calls that are left was sent over it.
+    /// The connection that the calls were meant for is gone, or there was none. Another one has
+    /// been open since this time, and none of the remaining calls was sent over it.
     Opened(Instant),
 }
 
-/// Dealings with one server since this host began to grant.
+/// State of one server's grants since this host began to lead.
 #[derive(Debug)]
 pub(super) struct OwnerState {
     pub(super) owner: Owner,
-    /// When the present connection was known to be open.
+    /// When the present connection was known to be open. Identifies the connection.
     connected_at: Option<Instant>,
     /// Lowest token for grants over the present connection.
     ///
-    /// Whoever answers on a new connection may be another life of the server, which the list doesn't show yet. It knows nothing of the
-    /// tokens that the life before it took, and would hold keys under the very token that the other had; a request that the former life
-    /// still works on could not be told from its own. So a grant and its renewals go over one connection, and over the next one
-    /// under a token that no life has seen.
+    /// A new connection may lead to another incarnation of the server, which the list doesn't show
+    /// yet. That incarnation has not seen the tokens of its predecessor and would hold keys under
+    /// the very same token. A request still running in the old incarnation could then not be told
+    /// from one of the new incarnation. A grant and its renewals therefore go over one connection,
+    /// and over the next one under a token that no incarnation has seen.
     min_token: Token,
-    /// End of the last call that may have granted something: answered, or given up with its connection reset.
+    /// End of the last call that may have granted something: answered, or timed out with its
+    /// connection reset.
     last_call: Option<Instant>,
     next_round: Option<Instant>,
-    /// The server refused a token a moment ago: it is asked again only at the next round.
+    /// Whether the server refused a token in its last round. It is then sent nothing, new ranges
+    /// included, before the next round is due.
     refused: bool,
-    /// First of the calls without an answer since the last answer.
+    /// When the first call since the last answer went unanswered.
     silent_since: Option<Instant>,
-    /// A round of grants is under way.
+    /// Whether a round of grants is in flight.
     pub(super) round_in_flight: bool,
-    /// When the present round began, or the last one.
+    /// Start of the latest round.
     round_started: Option<Instant>,
-    /// When the last round began of which the server took a call and refused none.
+    /// Start of the latest round in which the server accepted a grant and refused none.
     accepted_at: Option<Instant>,
-    /// This life of the server has surely ended.
+    /// Whether this incarnation of the server has certainly ended.
     pub(super) ended: bool,
-    /// No grant is sent any more, so that its hold runs out.
+    /// Whether the server gets no more grants, so that its hold expires.
     pub(super) given_up: bool,
-    /// The list has lacked the server since it was given up.
+    /// Whether the server has been off the list since it was given up.
     unlisted: bool,
-    /// What the server has confirmed.
+    /// Grants that the server confirmed.
     confirmed: BTreeSet<(KeyRange, Token)>,
 }
 
@@ -82,48 +85,51 @@
         }
     }
 
-    /// Whether the server has taken the range that the map has under `token`.
+    /// Whether the server has confirmed this range, which the map has under `token`.
     pub(super) fn has_confirmed(&self, range: KeyRange, token: Token) -> bool {
         let token = self.token(token);
         self.confirmed.iter().any(|(held, of)| *of == token && held.covers(range))
     }
 
-    /// The same for a life to whose name grants under tokens below `lowest` may have gone.
+    /// State for an incarnation under whose name grants with tokens below `min_token` may already
+    /// have been sent.
     pub(super) fn with_min_token(owner: Owner, min_token: Token) -> Self {
         Self { min_token, ..Self::new(owner) }
     }
 
-    /// The connection that calls may go over.
+    /// The connection that grants may be sent over.
     pub(super) fn connection(&self) -> Option<Instant> {
         self.connected_at
     }
 
-    /// Whether no connection to the server is known yet, and one is being opened.
+    /// Whether a connection to the server is being opened and none is known yet.
     pub(super) fn is_connecting(&self) -> bool {
         self.round_in_flight && self.connected_at.is_none()
     }
 
-    /// Whether the present connection was open before `proof`, or none is known.
+    /// Whether the store has confirmed this leader by a request sent at `confirmed_at`, after the
+    /// present connection was open. Also true if no connection is known.
     ///
-    /// A server keeps the tokens that it saw for as long as it runs, and a connection ends with the life that it was opened to. Over
-    /// one that was open when no successor had a record yet, a leader reaches the life that refuses it from its successor's first
-    /// grant on. Over a later one it could reach a life that was born after that grant and has forgotten it, and two servers would
-    /// hold the same keys.
+    /// A server keeps the tokens that it has seen for as long as it runs, and a connection ends
+    /// with the incarnation that it was opened to. Over a connection that was open when no
+    /// successor had a record yet, the leader reaches an incarnation that refuses it from its
+    /// successor's first grant on. Over a later one it could reach an incarnation that started
+    /// after that grant and doesn't know of it, and two servers would hold the same keys.
     pub(super) fn is_connection_confirmed(&self, confirmed_at: Instant) -> bool {
         self.connected_at.is_none_or(|at| at < confirmed_at)
     }
 
-    /// The token under which a range is granted that the map has under `token`.
+    /// The token to grant a range under that the map has under `token`.
     pub(super) fn token(&self, token: Token) -> Token {
         token.max(self.min_token)
     }
 
-    /// Whether the range with this token came after the present connection.
+    /// Whether a range with this token was assigned after the present connection was opened.
     pub(super) fn is_newer_than_connection(&self, token: Token) -> bool {
         token > self.min_token
     }
 
-    /// Another connection was open at `at`. `fresh` is a token above all that were given out.
+    /// Another connection was open at `at`. `fresh` returns a token above all that were given out.
     pub(super) fn on_connected(&mut self, at: Instant, fresh: impl FnOnce() -> Token) {
         if self.connected_at.replace(at).is_some() {
             self.min_token = fresh();
@@ -131,28 +137,28 @@
         }
     }
 
-    /// A round of grants is ordered. None of its calls is sent before this.
+    /// Marks a round of grants as in flight. None of its calls is sent before `now`.
     pub(super) fn begin_round(&mut self, now: Instant) {
         self.round_in_flight = true;
         self.round_started = Some(now);
     }
 
-    /// A time after which the server took a grant.
+    /// A time at or after which a grant was sent that the server accepted.
     pub(super) fn accepted_at(&self) -> Option<Instant> {
         self.accepted_at.filter(|_| !self.ended)
     }
 
-    /// Whether a round of renewals may start now.
+    /// Whether a round of renewals is due.
     pub(super) fn is_due(&self, now: Instant) -> bool {
         self.next_round.is_none_or(|at| now >= at)
     }
 
-    /// Whether grants of new ranges may go out before the next round.
+    /// Whether new ranges may be granted before the next round is due.
     pub(super) fn accepts_new_ranges(&self) -> bool {
         self.is_responsive() && !self.refused
     }
 
-    /// Whether the server answered the last time it was asked, or was not asked yet.
+    /// Whether the server answered the last calls, or was not called yet.
     pub(super) fn is_responsive(&self) -> bool {
         self.silent_since.is_none() && !self.ended && !self.given_up
     }
@@ -179,8 +185,9 @@
                 self.next_round = Some(now + if refused { GRANT_RETRY_DELAY } else { renew_every });
             }
             Outcome::Silent => {
-                // A server that answers some of the calls is there. Given up, all its keys would be away for a whole hold
-                // because a part of the answers is lost on the way.
+                // A server that answers some of the calls is alive. If it were given up because
+                // some answers are lost on the way, all its keys would be unserved for a whole
+                // hold.
                 if !confirmed.is_empty() {
                     self.silent_since = None;
                 }
@@ -193,7 +200,8 @@
         }
     }
 
-    /// Keeps only what the present map still says, so that the set doesn't grow with each move.
+    /// Drops confirmations that the present map no longer contains, so that the set doesn't grow
+    /// with each move.
     pub(super) fn retain_confirmed(&mut self, held: &[(KeyRange, Token)]) {
         let min_token = self.min_token;
         let is_current = |range: KeyRange, token| {
@@ -202,15 +210,15 @@
         self.confirmed.retain(|(range, token)| is_current(*range, *token));
     }
 
-    /// Whether the silence has lasted long enough to give the server up.
+    /// Whether the server has been silent long enough to be given up.
     pub(super) fn is_lost(&self, now: Instant) -> bool {
         let lost = |since: Instant| now.saturating_duration_since(since) >= GIVE_UP_AFTER;
         self.silent_since.is_some_and(lost)
     }
 
-    /// Whether nothing that was granted to the server can be in force any more, given that nothing more is granted.
+    /// Whether every grant to the server has expired, given that no more are sent.
     ///
-    /// `others_until` is the time until which somebody else may still have renewed its grants.
+    /// `predecessors_until` is the time until which earlier leaders may have renewed its grants.
     pub(super) fn has_lapsed(&self, now: Instant, predecessors_until: Instant) -> bool {
         if self.ended {
             return true;
@@ -219,15 +227,16 @@
         !self.round_in_flight && now >= last + longest_hold()
     }
 
-    /// Whether a server that was given up has come back: it had left the list, and is on it again.
+    /// Whether a server that was given up has returned: it had left the list, and is on it again.
     ///
-    /// One that stays on the list may take grants whose answers are lost, and its hold would never run out if it were asked again.
+    /// One that stays on the list may accept grants while its answers are lost. If grants to it
+    /// were resumed each time, its hold would never expire.
     pub(super) fn is_back(&mut self, listed: bool) -> bool {
         self.unlisted |= self.given_up && !listed;
         self.unlisted && listed && !self.ended
     }
 
-    /// Starts over with a server that was given up.
+    /// Resumes grants to a server that was given up.
     pub(super) fn resume(&mut self) {
         self.given_up = false;
         self.unlisted = false;
@@ -236,7 +245,7 @@
     }
 }
 
-/// How long a grant can last from its arrival on the slowest clock, and the margin.
+/// Longest time that a grant can last after its arrival, on the slowest clock and with a margin.
 pub fn longest_hold() -> Duration {
     HOLD.mul_f64(CLOCK_DRIFT_FACTOR) + MARGIN
 }
--- a/crates/jacinthbeam-range/src/grantor/pending_move.rs
+++ b/crates/jacinthbeam-range/src/grantor/pending_move.rs
@@ -1,4 +1,4 @@
-//! Ranges on their way from one owner to the next.
+//! Ranges that are being moved from one owner to another.
 
 use std::time::Instant;
 
@@ -6,32 +6,35 @@
 
 use crate::{key::KeyRange, map::Owner};
 
-/// When the release was ordered. The range was granted to its old owner before that, and is not again.
+/// When the release was ordered. Every grant of the range to its old owner was sent before that.
 pub(super) type OrderedAt = Instant;
 
-/// How far a change of owner has come.
+/// Progress of a move.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum Stage {
-    /// The old owner may still be sent a renewal that was begun before. It must not be renewed once its release is sent.
+    /// The old owner may have a renewal in flight. The release is sent only after that, since no
+    /// renewal may follow it.
     Waiting,
-    /// The release is sent, and answers when the running requests have ended.
+    /// The release was sent. It is answered when the running requests have ended.
     ///
-    /// If no answer comes, the range stays without an owner until the old grant has surely run out: the release may not have arrived, and
-    /// the old owner would go on serving beside the new one. That is one hold after the release was ordered, however long the answer
-    /// is waited for. Counted from the end of that wait, the keys of a server that ended with requests of theirs had no owner for 7.5 s
-    /// in place of 3.6, as reckoned from the spans.
+    /// If no answer comes, the range stays without an owner until the old grant has certainly
+    /// expired: the release may not have arrived, and the old owner would go on serving beside the
+    /// new one. The wait is one hold from the time at which the release was ordered, however long
+    /// its answer takes. If it were counted from the release's timeout, the keys of a server that
+    /// ended with requests in progress would have no owner for 7.5 s in place of 3.6 s, as
+    /// calculated from the durations.
     Releasing(OrderedAt),
-    /// The old owner holds the keys no longer.
+    /// The old owner no longer holds the keys. Contains what it hands over.
     Free(Option<String>),
 }
 
-/// One range that changes its owner. Renewals leave it out from the start.
+/// A range that is being moved to another owner. It is excluded from renewals from the start.
 #[derive(Debug, Clone)]
 pub(super) struct PendingMove {
     pub(super) range: KeyRange,
     pub(super) from: Owner,
     pub(super) to: Owner,
-    /// Token of the release, and of the new owner's grant.
+    /// Token of the release and of the new owner's grant.
     pub(super) token: Token,
     pub(super) stage: Stage,
 }
--- a/crates/jacinthbeam-range/src/grantor/stopping.rs
+++ b/crates/jacinthbeam-range/src/grantor/stopping.rs
@@ -1,4 +1,5 @@
-//! How a host stops to grant: replaced by another, told to stop, or left with too few servers, and what others are told of it.
+//! How a host stops granting: replaced by another, told to shut down, or left with too few
+//! reachable servers. Also what it then reports to others.
 
 use std::time::Instant;
 
@@ -7,21 +8,22 @@
 use super::{Action, Grantor, View, timing};
 use crate::map::{Leader, Map};
 
-/// Hosts whose word that they have stopped is remembered: a successor asks for that of one or two, and a fleet's hosts stop one by one.
+/// How many hosts' reports that they stopped are kept. A successor needs those of one or two, and
+/// the hosts of a fleet stop one after the other.
 const STOPPED_KEPT: usize = 16;
 
-/// A host that said that it has stopped.
+/// A host that reported that it no longer grants.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct Stopped {
     pub(super) leader: Leader,
-    /// The epoch in which it led. Without it the word of an earlier time would count for a process that leads again, and its successor
-    /// would not wait for what it renews now.
+    /// The epoch in which it led. Without the epoch, an old report would count for a process that
+    /// leads again, and its successor would not wait for what it renews now.
     pub(super) epoch: Epoch,
-    /// Until then its last calls may arrive, and hosts before it may renew.
+    /// Until then its last calls may arrive and its own predecessors may renew.
     pub(super) until: Instant,
 }
 
-/// A host that was replaced, which tells its successor so.
+/// This host's last leadership, which another host replaced; the successor is notified of its end.
 #[derive(Debug)]
 pub(super) struct Replaced {
     pub(super) successor: Leader,
@@ -49,8 +51,9 @@
         Some(Action::NotifySuccessor { to, epoch, others_left })
     }
 
-    /// Most owners are silent although they are listed: it is rather this host that is cut off. It must not take their keys
-    /// away; another host may reach them.
+    /// Gives the duty back because most owners are silent although they are listed: more likely
+    /// this host is the one that is cut off. It must not take their keys away, since another host
+    /// may reach them.
     pub(super) fn resign(&mut self, view: View<'_>) -> Vec<Action> {
         self.duty = false;
         self.next_claim = Some(view.now + timing::RESIGN_COOLDOWN);
@@ -68,10 +71,12 @@
         }
     }
 
-    /// Ends the granting of a process that is about to stop, once the store has answered since.
+    /// Stops the grants of a process that is shutting down, once the store has answered since the
+    /// shutdown began.
     ///
-    /// While the store is away nobody can take over. Keys that were no longer renewed would have no server from the end of their holds
-    /// until it is back, some seconds in which the process is still there for its last requests.
+    /// While the store is unreachable no other host can take over. Keys that were no longer renewed
+    /// would be unserved from the end of their holds until the store is back, although the process
+    /// is still running for some seconds to finish its last requests.
     pub(super) fn shut_down(&mut self, view: View<'_>, since: Instant) -> Vec<Action> {
         self.claim = None;
         match &mut self.leading {
@@ -80,17 +85,20 @@
         }
     }
 
-    /// The process stops now. If it still grants, the others are told that it does no more.
-    pub(super) fn end(&mut self, now: Instant) -> Vec<Action> {
+    /// The process exits now. If it still grants, the other hosts are notified that it has stopped.
+    pub(super) fn on_exit(&mut self, now: Instant) -> Vec<Action> {
         let Some(leading) = self.leading.take() else { return Vec::new() };
         let others_left = leading.predecessors_until().saturating_duration_since(now);
         vec![Action::BroadcastStopped { epoch: leading.map.epoch, others_left }]
     }
 
-    /// Says in the store that this process sends no grant any more, so that a successor has nobody to wait for.
+    /// Records in the store that this process sends no more grants, so that a successor need not
+    /// wait for it.
     ///
-    /// Not while hosts before this one may still renew: the successor, which sees only this record, would not wait for them, and
-    /// give the keys of a server away that one of them still renews. It then waits as for a host that was lost.
+    /// No such record is written while this host's predecessors may still renew. A successor, which
+    /// sees only this record, would not wait for them either, and would give away the keys of a
+    /// server that one of them still renews. It waits as for a host that was lost, unless the
+    /// broadcast sent in place of the record reaches it.
     pub(super) fn retire(&mut self, now: Instant) -> Vec<Action> {
         self.claim = None;
         let Some(leading) = self.leading.take() else { return Vec::new() };
--- a/crates/jacinthbeam-range/src/grantor/timing.rs
+++ b/crates/jacinthbeam-range/src/grantor/timing.rs
@@ -1,102 +1,121 @@
-//! Every time span of granting, and why it has that length.
+//! Durations and limits of granting, and the reason for each.
 
 use std::time::Duration;
 
-/// How long a grant lasts from its arrival.
+/// Duration of a grant, counted from its arrival at the server.
 ///
-/// Keys of a server that fell silent are unserved for this long at the least, which asks for a short one. It has to outlast
-/// the loss of the granting host: a lease in the store's group of 1.5 s that runs out, half a second until the successor
-/// hears of its duty, a claim and its grants, together some 2.5 s, after up to [`RENEW_EVERY`].
+/// The keys of a server that fell silent are unserved for at least this long, so it should be
+/// short. It must outlast the loss of the granting host: a lease of 1.5 s in the store's consumer
+/// group that expires, half a second until the successor learns of its duty, and a claim and its
+/// grants, together some 2.5 s, after up to [`RENEW_EVERY`].
 pub const HOLD: Duration = Duration::from_millis(3300);
 
-/// A backend server's clock may run this much slow, so that a hold lasts longer than it says.
+/// A backend server's clock may run slow by this factor, so that a hold lasts longer than its
+/// nominal duration.
 pub const CLOCK_DRIFT_FACTOR: f64 = 1.02;
 
-/// Added to each wait for the end of a hold, for what passes between a clock's reading and the use made of it.
+/// Added to each wait for the end of a hold, for the time that passes between reading a clock and
+/// acting on it.
 pub const MARGIN: Duration = Duration::from_millis(200);
 
-/// Pause between two grants of the same keys: five in a hold, so that four lost in a row cost nothing.
+/// Interval between two grants of the same keys: five in a hold, so that losing four in a row has
+/// no effect.
 pub const RENEW_EVERY: Duration = Duration::from_millis(600);
 
-/// Longest such pause, on a map of many ranges: three grants in a hold, so that two may be lost in a row.
+/// Upper limit of that interval on a map of many ranges: three grants in a hold, so that two may be
+/// lost in a row.
 const MAX_RENEW_EVERY: Duration = Duration::from_millis(1050);
 
-/// Ranges that are renewed in a millisecond, above [`RENEW_EVERY`]: 667 calls a second. At 1,800 calls a second, for 1,100 ranges each 0.6 s, a
-/// host with a fifth of a core did nothing else and heard of a configuration 3.8 s late.
+/// Ranges renewed per millisecond where [`RENEW_EVERY`] would be faster: 667 calls a second. At
+/// 1,800 calls a second, for 1,100 ranges each 0.6 s, a host with a fifth of a core did nothing
+/// else and received a configuration 3.8 s late.
 const RANGES_PER_MS: f64 = 0.667;
 
-/// Pause between two grants of the same keys on a map of so many ranges.
+/// Interval between two grants of the same keys on a map of `ranges` ranges.
 pub fn renew_every(ranges: usize) -> Duration {
     let paced = Duration::from_secs_f64(ranges as f64 / RANGES_PER_MS / 1000.0);
     paced.clamp(RENEW_EVERY, MAX_RENEW_EVERY)
 }
 
-/// How long a host goes on renewing after the store last confirmed that nobody replaced it.
+/// How long a leader may go on renewing after the store last confirmed that nobody replaced it.
 ///
-/// Longer lets keys outlive a longer outage of the store (this and [`HOLD`] together, 15 s). A successor waits for it where it
-/// can't get most owners; else [`MAJORITY_VALID_FOR`] counts.
+/// A longer time lets keys outlive a longer outage of the store (this and [`HOLD`] together, 15 s).
+/// A successor waits this long where it can't get grants to most owners; elsewhere
+/// [`MAJORITY_VALID_FOR`] counts.
 pub const CONFIRMATION_VALID_FOR: Duration = Duration::from_secs(12);
 
-/// How long a host goes on renewing after most owners took its grants, if the store has not confirmed it since.
+/// How long a leader may go on renewing after most owners accepted its grants, if the store has not
+/// confirmed it since.
 ///
-/// Two rounds of renewals may be lost, each with the time of a call that gets no answer. A successor waits for it, so each
-/// second of it is a second in which the keys of a dead server are not served.
+/// Two rounds of renewals may be lost, each with the time of a call that gets no answer. A
+/// successor waits this long, so each second of it is a second in which the keys of a dead server
+/// are not served.
 pub const MAJORITY_VALID_FOR: Duration = Duration::from_millis(1800);
 
-/// A call that was sent before a host stopped arrives within this, or its connection is reset: the time that a grant is waited
-/// for, and some of the host's own.
+/// A call that was sent before a host stopped arrives within this time, or its connection is reset:
+/// the timeout of a grant, and some time of the host's own.
 pub const MAX_CALL_TIME: Duration = Duration::from_millis(800);
 
-/// For this long a host that was replaced tells its successor so, at each tick: datagrams are lost now and then.
+/// For this long a host that was replaced notifies its successor at each tick, since datagrams are
+/// lost now and then.
 pub const NOTIFY_SUCCESSOR_FOR: Duration = Duration::from_millis(1000);
 
-/// Age of that confirmation at which a new one is asked for: a small part of [`CONFIRMATION_VALID_FOR`], for two thirds of a call a second.
+/// Age of the store's confirmation at which a new one is requested: a small part of
+/// [`CONFIRMATION_VALID_FOR`], at a cost of two thirds of a call a second.
 pub const CHECK_EVERY: Duration = Duration::from_millis(1500);
 
-/// Pause between two such questions while a new connection waits for the answer: half a tick, so that a server that starts again
-/// under its name has its keys back some 0.1 s after the connection to it.
+/// Interval between two such requests while a new connection waits for the answer: half a tick, so
+/// that a server that restarts under its name has its keys back some 0.1 s after the connection to
+/// it.
 pub const CHECK_EVERY_WHILE_CONNECTING: Duration = Duration::from_millis(50);
 
-/// A server that answered no grant for this long counts as lost, and its hold is left to run out. A restart of the network
-/// path or a full accept queue takes up to a second.
+/// A server that answered no grant for this long counts as lost, and its hold is left to expire. A
+/// restart of the network path or a full accept queue takes up to a second.
 pub const GIVE_UP_AFTER: Duration = Duration::from_millis(1000);
 
-/// Pause before a server that gave no answer is asked again.
+/// Delay before grants are sent again to a server that gave no answer.
 pub const GRANT_RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// Pause between two looks at the balance of load.
+/// Interval between two checks of the load balance.
 pub const BALANCE_EVERY: Duration = Duration::from_millis(400);
 
-/// Ranges that one look moves at the most among a few owners. Each is three calls, and its keys are away while their requests end.
+/// Lower limit for the ranges that one balance check may move. Each move is three calls, and its
+/// keys have no owner until the requests that run under them have ended.
 const MIN_MOVES_AT_ONCE: usize = 8;
 
-/// Owners for each such move among many. Hot keys that lie side by side come to as many owners as there are keys, and are hot for some
-/// seconds: among 442 owners eight moves in a look spread 200 keys over 35 within 2.5 s, one for eight owners over 100, and one for five or
-/// two owners no more, since the owners that give them up have to answer what they had (`tests/onset.rs`).
+/// Owners per such move in a large deployment. Adjacent hot keys can be spread over as many owners
+/// as there are keys, and are hot for some seconds only. Among 442 owners, eight moves per check
+/// spread 200 keys over 35 owners within 2.5 s, and one move per eight owners over 100. One move
+/// per five or per two owners reached no more, since the owners that give keys up must first answer
+/// the requests that they have (`tests/onset.rs`).
 const OWNERS_PER_MOVE: usize = 8;
 
-/// Ranges that one look moves at the most.
+/// Most ranges that one balance check may move among this many owners.
 pub fn moves_at_once(owners: usize) -> usize {
     (owners / OWNERS_PER_MOVE).max(MIN_MOVES_AT_ONCE)
 }
 
-/// Releases that may be under way among a few owners; the answer of one comes only when the running requests of its keys have ended.
+/// Lower limit for the releases that may be in flight. A release is answered only when the running
+/// requests of its keys have ended.
 const MIN_RELEASES_AT_ONCE: usize = 48;
 
-/// Releases that may be under way: four looks' moves, since the answer of a busy owner takes up to two seconds.
+/// Most releases that may be in flight among this many owners: the moves of four balance checks,
+/// since the answer of a busy owner takes up to two seconds.
 pub fn releases_at_once(owners: usize) -> usize {
     (moves_at_once(owners) * 4).max(MIN_RELEASES_AT_ONCE)
 }
 
-/// A range that has just moved is left alone for this long: its owner's load is not yet known.
+/// A range that has just moved is not moved again for this long, since the load of its new owner is
+/// not yet known.
 pub const MOVE_COOLDOWN: Duration = Duration::from_millis(1500);
 
-/// A host that gave the duty back since it reaches too few servers leaves it to the others for this long: the others' claim
-/// and first grants take some 3 s.
+/// A host that gave the duty back because it reaches too few servers leaves it to the others for
+/// this long: their claim and first grants take some 3 s.
 pub const RESIGN_COOLDOWN: Duration = Duration::from_secs(5);
 
-/// Pause before a claim is tried again.
+/// Delay before another claim is tried.
 pub const CLAIM_RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// Ranges for each owner above which neighbours of one owner are joined: each range is a call every [`RENEW_EVERY`].
+/// Ranges per owner above which neighbouring ranges of one owner are merged, since each range is a
+/// call every [`RENEW_EVERY`].
 pub const MERGE_ABOVE_RANGES_PER_OWNER: usize = 4;
