--- a/crates/jacinthbeam-range/tests/grantor/cost.rs
+++ b/crates/jacinthbeam-range/tests/grantor/cost.rs
@@ -1,4 +1,4 @@
-//! What a granting host spends by the number of its owners.
+//! Cost of granting, by the number of owners and ranges.
 
 use std::{
     collections::BTreeMap,
@@ -8,45 +8,47 @@
 use jacinthbeam_range::{Event, KeyRange, Map, Owner, grantor::timing};
 use jacinthbeam_types::prelude::*;
 
-use crate::play::{Play, server};
+use crate::harness::{Harness, server};
 
-const FEW: u16 = 40;
-const MANY: u16 = 320;
-/// The shortest of so many counts, so that a processor that others use too doesn't change the verdict.
+const FEW_OWNERS: u16 = 40;
+const MANY_OWNERS: u16 = 320;
+/// The shortest of this many measurements counts, so that other load on the processor doesn't
+/// change the result.
 const PASSES: u32 = 40;
-/// Eight times the owners. In proportion, a pass takes 8 times as long; with one look at all owners for each owner it took 40
-/// times and more. As measured, 10 and 40 to 63.
-const MOST_RATIO: u32 = 24;
+/// For eight times the owners, a pass takes 8 times as long if it is linear. With an iteration over
+/// all owners for each owner it took 40 times as long and more. Measured: 10, and 40 to 63.
+const MAX_RATIO: u32 = 24;
 
-/// The time of a pass in which nothing is due.
+/// Duration of a pass in which nothing is due.
 fn pass(owners: u16) -> Duration {
-    let mut play = Play::among(owners, 1, None, &[]);
-    play.run(Duration::from_secs(2));
-    assert!(play.grantor.leads());
+    let mut harness = Harness::with_servers(owners, 1, None, &[]);
+    harness.run(Duration::from_secs(2));
+    assert!(harness.grantor.leads());
     let mut time = || {
         let begun = Instant::now();
-        play.feed(Event::Tick);
+        harness.feed(Event::Tick);
         begun.elapsed()
     };
-    // The first one brings what was due.
+    // The first pass handles what was due.
     time();
-    (0..PASSES).map(|_| time()).min().expect("there is a pass")
+    (0..PASSES).map(|_| time()).min().expect("PASSES is positive")
 }
 
-/// A granting host looks at its owners ten times a second. With the square of their number it falls behind at some hundred
-/// owners: callers see keys without an owner, since renewals go out late, while the host does nothing else.
-/// The right to grant was worked out from all owners once for each owner.
+/// Guards against a pass that is quadratic in the owners: the right to grant was computed from all
+/// owners once for each owner. A granting host makes ten passes a second and falls behind at some
+/// hundred owners; renewals are then late and callers find keys without an owner.
 #[test]
-fn a_pass_grows_no_faster_than_the_owners() {
-    let (few, many) = (pass(FEW), pass(MANY));
-    assert!(many < few * MOST_RATIO, "{few:?} for {FEW} owners, {many:?} for {MANY}");
+fn pass_time_grows_linearly_with_owners() {
+    let (few, many) = (pass(FEW_OWNERS), pass(MANY_OWNERS));
+    assert!(many < few * MAX_RATIO, "{few:?} for {FEW_OWNERS} owners, {many:?} for {MANY_OWNERS}");
 }
 
-/// The pattern: half of 181 servers are replaced within ten seconds, and their keys lie in 1,100 ranges afterwards. Renewed every 0.6 s, these
-/// were 1,800 calls a second, all that a host with a fifth of a core can do. It heard of a configuration 3.8 s late, and callers were
-/// served by what had been taken back. Each range must be renewed in time all the same.
+/// Guards against renewals that use up the processor. After half of 181 servers were replaced
+/// within ten seconds, their keys lay in 1,100 ranges. Renewed every 0.6 s, these were 1,800 calls
+/// a second, all that a host with a fifth of a core can do: it received a configuration 3.8 s late
+/// and served callers by one that had been reverted. Each range must still be renewed in time.
 #[test]
-fn renewals_of_many_ranges_leave_the_host_time() {
+fn renewals_of_many_ranges_are_paced() {
     const RANGES: u32 = 1100;
     const OWNERS: u32 = 181;
     let mut map = Map::unowned();
@@ -55,15 +57,15 @@
         let owner = Owner { server: server.id, addr: server.addr };
         map.assign(range, Some(owner), Token(n.into()), None);
     }
-    let mut play = Play::among(OWNERS as u16, 1, Some(map), &[]);
-    play.run(Duration::from_secs(2));
-    play.sent.clear();
-    play.run(Duration::from_secs(10));
-    assert!(play.sent.len() < 11_500, "{} calls in 10 s", play.sent.len());
+    let mut harness = Harness::with_servers(OWNERS as u16, 1, Some(map), &[]);
+    harness.run(Duration::from_secs(2));
+    harness.sent.clear();
+    harness.run(Duration::from_secs(10));
+    assert!(harness.sent.len() < 11_500, "{} calls in 10 s", harness.sent.len());
     let mut last = BTreeMap::new();
-    for (at, _, call) in &play.sent {
+    for (at, _, call) in &harness.sent {
         if let Some(before) = last.insert(call.range, *at) {
-            assert!(*at - before <= timing::HOLD / 2, "{} is renewed late", call.range);
+            assert!(*at - before <= timing::HOLD / 2, "{} is renewed too late", call.range);
         }
     }
 }
--- a/crates/jacinthbeam-range/tests/grantor/play.rs
+++ b/crates/jacinthbeam-range/tests/grantor/harness.rs
@@ -1,4 +1,4 @@
-//! A granting host with its servers, step by step.
+//! Drives one granting host step by step, against servers and a store controlled by the test.
 
 use std::{
     collections::BTreeMap,
@@ -35,63 +35,63 @@
     }
 }
 
-/// The same server after it has started again under its name.
-pub fn started_again(n: u16) -> Server {
+/// The same server after a restart under its name.
+pub fn restarted(n: u16) -> Server {
     let before = server(n, false);
     Server { id: ServerId::new(before.id.name().clone(), Some(Born(5))), ..before }
 }
 
 /// A granting host with its servers, whose answers the test chooses.
-pub struct Play {
+pub struct Harness {
     pub now: Instant,
     pub servers: Servers,
     pub grantor: Grantor,
     pub map: Option<Map>,
-    /// Whether questions to the store get no answer.
-    pub store_is_away: bool,
+    /// Whether calls to the store get no answer.
+    pub store_unreachable: bool,
     /// When the connection to each server was opened.
-    pub lines: BTreeMap<ServerId, Instant>,
+    pub connections: BTreeMap<ServerId, Instant>,
     /// Servers that give no answer.
     pub silent: Vec<ServerId>,
-    /// Servers at whose addresses another life answers.
+    /// Servers at whose addresses another incarnation answers.
     pub ended: Vec<ServerId>,
     /// Releases that were ordered and are not answered yet.
     pub releases: Vec<(KeyRange, Token)>,
-    /// Grants that were sent, with their time.
+    /// All grants that were sent, each with its time.
     pub sent: Vec<(Instant, ServerId, RangeGrant)>,
     pub records: Vec<Map>,
     pub resigned: bool,
-    /// What was told to a successor.
-    pub told: Vec<Duration>,
+    /// Values of `others_left` that were reported to a successor or to all hosts.
+    pub reported_others_left: Vec<Duration>,
 }
 
-impl Play {
-    /// A host that leads over two servers, and has granted everything.
+impl Harness {
+    /// A host that leads over two servers and has granted all keys.
     pub fn leading() -> Self {
-        let mut play = Self::new(1, None);
-        play.run(Duration::from_secs(2));
-        assert!(play.grantor.leads());
-        play
+        let mut harness = Self::new(1, None);
+        harness.run(Duration::from_secs(2));
+        assert!(harness.grantor.leads());
+        harness
     }
 
-    /// A host that has the duty, and finds this record. Two servers are listed, and both answer.
+    /// A host that has the duty and reads this record. Two servers are listed, and both answer.
     pub fn new(n: u64, map: Option<Map>) -> Self {
-        Self::among(2, n, map, &[])
+        Self::with_servers(2, n, map, &[])
     }
 
-    /// The same among some servers, of which these have been silent from before.
-    pub fn among(count: u16, n: u64, map: Option<Map>, silent: &[u16]) -> Self {
-        let mut play = Self::without_duty(count, n, map.clone(), silent);
-        play.feed(Event::Duty(true));
-        play.feed(Event::Read { sent_at: play.now, map });
-        play
+    /// The same with `count` servers, of which some are silent from the start.
+    pub fn with_servers(count: u16, n: u64, map: Option<Map>, silent: &[u16]) -> Self {
+        let mut harness = Self::without_duty(count, n, map.clone(), silent);
+        harness.feed(Event::Duty(true));
+        harness.feed(Event::Read { sent_at: harness.now, map });
+        harness
     }
 
-    /// The same among two servers for a host that knows the record and has no duty yet.
-    pub fn waiting(n: u64, map: Option<Map>, silent: &[u16]) -> Self {
-        let mut play = Self::without_duty(2, n, map.clone(), silent);
-        play.feed(Event::Read { sent_at: play.now, map });
-        play
+    /// A host that has read the record and doesn't have the duty yet, with two servers.
+    pub fn on_standby(n: u64, map: Option<Map>, silent: &[u16]) -> Self {
+        let mut harness = Self::without_duty(2, n, map.clone(), silent);
+        harness.feed(Event::Read { sent_at: harness.now, map });
+        harness
     }
 
     fn without_duty(count: u16, n: u64, map: Option<Map>, silent: &[u16]) -> Self {
@@ -106,43 +106,43 @@
             servers,
             grantor,
             map,
-            store_is_away: false,
-            lines: BTreeMap::new(),
+            store_unreachable: false,
+            connections: BTreeMap::new(),
             silent: silent.iter().map(|n| server(*n, false).id).collect(),
             ended: Vec::new(),
             releases: Vec::new(),
             sent: Vec::new(),
             records: Vec::new(),
             resigned: false,
-            told: Vec::new(),
+            reported_others_left: Vec::new(),
         }
     }
 
     pub fn feed(&mut self, event: Event) {
         let view = View { now: self.now, servers: &self.servers, servers_stable: true };
         for action in self.grantor.step(view, event) {
-            self.carry_out(action);
+            self.execute(action);
         }
     }
 
-    pub fn carry_out(&mut self, action: Action) {
+    pub fn execute(&mut self, action: Action) {
         match action {
             Action::Record(map) => {
                 self.records.push(map.clone());
                 self.map = Some(map);
                 self.feed(Event::Recorded { sent_at: self.now });
             }
-            Action::Check if self.store_is_away => {}
+            Action::Check if self.store_unreachable => {}
             Action::Check => self.feed(Event::Read { sent_at: self.now, map: self.map.clone() }),
             Action::Grant { to, grants, connection, until } => {
                 assert!(self.now < until);
-                // Open for long, unless the test says otherwise.
+                // Connections have been open for a while, unless the test sets another time.
                 let long_ago = self.now - Duration::from_secs(1);
-                let line = *self.lines.entry(to.server.clone()).or_insert(long_ago);
-                if connection != Some(line) {
+                let current = *self.connections.entry(to.server.clone()).or_insert(long_ago);
+                if connection != Some(current) {
                     return self.feed(Event::Granted {
                         server: to.server,
-                        outcome: Outcome::Opened(line),
+                        outcome: Outcome::Opened(current),
                         last_call: None,
                         confirmed: Vec::new(),
                         refused: Vec::new(),
@@ -168,7 +168,7 @@
             Action::Release { range, token, .. } => self.releases.push((range, token)),
             Action::NotifySuccessor { others_left, .. }
             | Action::BroadcastStopped { others_left, .. } => {
-                self.told.push(others_left);
+                self.reported_others_left.push(others_left);
             }
             Action::Resign => self.resigned = true,
         }
@@ -182,23 +182,23 @@
         }
     }
 
-    /// The same while calls to the store are not answered. Returns whether a record was sent.
+    /// Like `feed`, while calls to the store get no answer. Returns whether a record was appended.
     pub fn feed_without_store(&mut self, event: Event) -> bool {
         let view = View { now: self.now, servers: &self.servers, servers_stable: true };
         let mut recorded = false;
-        self.store_is_away = true;
+        self.store_unreachable = true;
         for action in self.grantor.step(view, event) {
             match action {
                 Action::Record(_) => recorded = true,
                 Action::Check => {}
-                action => self.carry_out(action),
+                action => self.execute(action),
             }
         }
-        self.store_is_away = false;
+        self.store_unreachable = false;
         recorded
     }
 
-    /// Runs while calls to the store are not answered.
+    /// Like `run`, while calls to the store get no answer.
     pub fn run_without_store(&mut self, span: Duration) {
         let end = self.now + span;
         while self.now < end {
@@ -208,11 +208,11 @@
     }
 
     /// Runs until `what` holds, and returns how long that took.
-    pub fn until(&mut self, what: impl Fn(&Self) -> bool) -> Duration {
+    pub fn run_until(&mut self, what: impl Fn(&Self) -> bool) -> Duration {
         let begun = self.now;
         while !what(self) {
             self.run(TICK);
-            assert!(self.now - begun < Duration::from_secs(60), "it never happens");
+            assert!(self.now - begun < Duration::from_secs(60), "condition not met within 60 s");
         }
         self.now - begun
     }
--- a/crates/jacinthbeam-range/tests/grantor/main.rs
+++ b/crates/jacinthbeam-range/tests/grantor/main.rs
@@ -1,7 +1,7 @@
-//! What the granting host does about single failures.
+//! How a granting host handles single failures.
 
 mod cost;
-mod play;
+mod harness;
 mod server;
 mod store;
 mod takeover;
--- a/crates/jacinthbeam-range/tests/grantor/takeover.rs
+++ b/crates/jacinthbeam-range/tests/grantor/takeover.rs
@@ -9,56 +9,59 @@
 
 use jacinthbeam_types::prelude::*;
 
-use crate::play::*;
+use crate::harness::*;
 
-/// The host that led before may be cut off, and renew what it granted until its confirmation is too old. Its successor, which has
-/// no word of the server, waits for that too.
+/// Guards against two owners while the previous leader is cut off and renews until its confirmation
+/// expires. The successor, which gets no answer from the server, must wait for that too.
 #[test]
 fn a_successor_waits_for_its_predecessor() {
-    let first = Play::leading();
-    let mut play = Play::among(2, 2, first.map.clone(), &[1]);
-    let begun = play.now;
-    play.until(|play| play.keys_of(1) == 0);
-    assert!(play.now >= begun + timing::CONFIRMATION_VALID_FOR + longest_hold());
+    let first = Harness::leading();
+    let mut harness = Harness::with_servers(2, 2, first.map.clone(), &[1]);
+    let begun = harness.now;
+    harness.run_until(|harness| harness.keys_of(1) == 0);
+    assert!(harness.now >= begun + timing::CONFIRMATION_VALID_FOR + longest_hold());
 }
 
-/// The host that led has died, and a server a moment later. Most servers take the successor's grants, so that the predecessor,
-/// were it alive, could not have had most of them since, and would renew for a bounded time only. The dead server's keys are served
-/// again seconds sooner than by waiting for the predecessor's confirmation to grow old.
+/// Guards against an outage of seconds when the leader dies and a server a moment later. Most
+/// servers accept the successor's grants, so that the predecessor, if it were alive, could have no
+/// majority since and would renew for a bounded time only. The dead server's keys are served again
+/// seconds sooner than by waiting for the predecessor's confirmation to expire.
 #[test]
-fn a_majority_of_servers_bounds_a_silent_predecessor() {
-    let mut first = Play::among(3, 1, None, &[]);
+fn majority_bounds_the_wait_for_a_silent_predecessor() {
+    let mut first = Harness::with_servers(3, 1, None, &[]);
     first.run(Duration::from_secs(2));
-    let mut play = Play::among(3, 2, first.map.clone(), &[1]);
-    let begun = play.now;
-    play.until(|play| play.keys_of(1) == 0);
+    let mut harness = Harness::with_servers(3, 2, first.map.clone(), &[1]);
+    let begun = harness.now;
+    harness.run_until(|harness| harness.keys_of(1) == 0);
     let bound = timing::MAJORITY_VALID_FOR + timing::MAX_CALL_TIME + timing::MARGIN;
-    assert!(play.now >= begun + bound + longest_hold());
-    assert!(play.now < begun + bound + longest_hold() + Duration::from_secs(1));
+    assert!(harness.now >= begun + bound + longest_hold());
+    assert!(harness.now < begun + bound + longest_hold() + Duration::from_secs(1));
     assert!(bound < timing::CONFIRMATION_VALID_FOR);
 }
 
-/// The host that led has replaced another a second before it died. Most servers refuse both from the first grants of the third host
-/// on, which waits no longer for two than for one.
+/// Guards against a longer wait if the leader had replaced another host a second before it died.
+/// Most servers refuse both of them from the first grants of the third host on, which waits no
+/// longer for two than for one.
 #[test]
-fn a_majority_bounds_hosts_further_back() {
-    let mut first = Play::among(3, 1, None, &[]);
+fn majority_bounds_the_wait_for_earlier_leaders() {
+    let mut first = Harness::with_servers(3, 1, None, &[]);
     first.run(Duration::from_secs(2));
-    let mut second = Play::among(3, 2, first.map.clone(), &[1]);
+    let mut second = Harness::with_servers(3, 2, first.map.clone(), &[1]);
     second.run(Duration::from_secs(1));
-    let mut play = Play::among(3, 3, second.map.clone(), &[1]);
-    let begun = play.now;
-    play.until(|play| play.keys_of(1) == 0);
+    let mut harness = Harness::with_servers(3, 3, second.map.clone(), &[1]);
+    let begun = harness.now;
+    harness.run_until(|harness| harness.keys_of(1) == 0);
     let bound = timing::MAJORITY_VALID_FOR + timing::MAX_CALL_TIME + timing::MARGIN;
-    assert!(play.now >= begun + bound + longest_hold());
-    assert!(play.now < begun + timing::CONFIRMATION_VALID_FOR);
+    assert!(harness.now >= begun + bound + longest_hold());
+    assert!(harness.now < begun + timing::CONFIRMATION_VALID_FOR);
 }
 
-/// A host has replaced another and gone on to give all keys to new servers. The one before it, cut off with the old ones, has most
-/// of the owners that it knows; the new owners' word says nothing of it.
+/// Guards against counting the wrong owners. A host has replaced another and moved all keys to new
+/// servers. The one before it, cut off with the old servers, has a majority of the owners that it
+/// knows, and acceptance by the new owners proves nothing about it.
 #[test]
-fn a_majority_of_new_owners_says_nothing_of_an_old_rival() {
-    let mut first = Play::among(3, 1, None, &[]);
+fn majority_of_new_owners_does_not_bound_an_earlier_leader() {
+    let mut first = Harness::with_servers(3, 1, None, &[]);
     first.run(Duration::from_secs(2));
     let mut map = first.map.clone().unwrap();
     map.begin_epoch(leader(2));
@@ -67,221 +70,241 @@
         let owner = jacinthbeam_range::Owner { server: server.id, addr: server.addr };
         map.assign(range, Some(owner), map.first_token(), None);
     }
-    let mut play = Play::among(5, 3, Some(map), &[5]);
-    let begun = play.now;
-    play.until(|play| play.keys_of(5) == 0);
-    assert!(play.now >= begun + timing::CONFIRMATION_VALID_FOR + longest_hold());
+    let mut harness = Harness::with_servers(5, 3, Some(map), &[5]);
+    let begun = harness.now;
+    harness.run_until(|harness| harness.keys_of(5) == 0);
+    assert!(harness.now >= begun + timing::CONFIRMATION_VALID_FOR + longest_hold());
 }
 
-/// The store turns a host away that leads, and another takes over. The first hears of it from a third, stops, and says so. Its
-/// successor then has only the calls under way and the hold to wait for before a dead server's keys are served again.
+/// Guards against a long wait for a predecessor that has stopped. The store is unreachable for a
+/// leader, and another host takes over. The first one learns of it from a third, stops and reports
+/// that. Its successor then has to wait only for the calls in flight and for the hold before a dead
+/// server's keys are served again.
 #[test]
-fn a_predecessor_that_says_it_has_stopped_is_not_waited_for() {
-    let mut first = Play::leading();
-    let mut play = Play::among(2, 2, first.map.clone(), &[1]);
-    let (begun, record) = (play.now, play.map.clone().unwrap());
+fn predecessor_that_reports_its_stop_is_not_waited_for() {
+    let mut first = Harness::leading();
+    let mut harness = Harness::with_servers(2, 2, first.map.clone(), &[1]);
+    let (begun, record) = (harness.now, harness.map.clone().unwrap());
     first.sent.clear();
     first.feed(Event::PeerMap(record));
     first.run(Duration::from_secs(2));
     assert!(!first.grantor.leads() && first.sent.is_empty());
-    let others_left = first.told[0];
-    play.feed(Event::PeerStopped { leader: leader(1), epoch: Epoch(1), others_left });
-    play.until(|play| play.keys_of(1) == 0);
-    let took = play.now - begun;
+    let others_left = first.reported_others_left[0];
+    harness.feed(Event::PeerStopped { leader: leader(1), epoch: Epoch(1), others_left });
+    harness.run_until(|harness| harness.keys_of(1) == 0);
+    let took = harness.now - begun;
     assert!(took >= timing::MAX_CALL_TIME + longest_hold());
     assert!(took < timing::CONFIRMATION_VALID_FOR + longest_hold());
 }
 
-/// The one that has stopped had not led for long, and the one before it may still renew.
+/// Guards against relying on the report of a predecessor that had led only briefly: its own
+/// predecessor may still renew.
 #[test]
 fn predecessors_of_the_predecessor_are_waited_for() {
-    let first = Play::leading();
-    let mut play = Play::among(2, 2, first.map.clone(), &[1]);
-    let begun = play.now;
+    let first = Harness::leading();
+    let mut harness = Harness::with_servers(2, 2, first.map.clone(), &[1]);
+    let begun = harness.now;
     let others_left = Duration::from_secs(5);
-    play.feed(Event::PeerStopped { leader: leader(1), epoch: Epoch(1), others_left });
-    play.until(|play| play.keys_of(1) == 0);
-    assert!(play.now >= begun + others_left + longest_hold());
+    harness.feed(Event::PeerStopped { leader: leader(1), epoch: Epoch(1), others_left });
+    harness.run_until(|harness| harness.keys_of(1) == 0);
+    assert!(harness.now >= begun + others_left + longest_hold());
 }
 
-/// A host takes over and is stopped a second later. The one that it replaced is cut off and may renew for seven seconds more; if the
-/// record said that nobody leads, the third host would not know of it.
+/// Guards against losing track of an earlier leader. A host takes over and is stopped a second
+/// later. The leader that it replaced is cut off and may renew for seven seconds more. If the
+/// record said that no host leads, the third host would not know of that one.
 #[test]
-fn a_host_that_stops_soon_does_not_hide_its_predecessor() {
-    let first = Play::leading();
-    let mut second = Play::among(2, 2, first.map.clone(), &[1]);
+fn short_leadership_does_not_hide_its_predecessor() {
+    let first = Harness::leading();
+    let mut second = Harness::with_servers(2, 2, first.map.clone(), &[1]);
     second.run(Duration::from_secs(1));
     second.feed(Event::ShutdownStarted);
-    let mut play = Play::among(2, 3, second.map.clone(), &[1]);
-    let begun = play.now;
-    play.until(|play| play.keys_of(1) == 0);
-    assert!(play.now >= begun + timing::CONFIRMATION_VALID_FOR + longest_hold());
+    let mut harness = Harness::with_servers(2, 3, second.map.clone(), &[1]);
+    let begun = harness.now;
+    harness.run_until(|harness| harness.keys_of(1) == 0);
+    assert!(harness.now >= begun + timing::CONFIRMATION_VALID_FOR + longest_hold());
 }
 
-/// The word of a host that was not the one replaced says nothing of the one that was.
+/// Guards against relying on the report of a host that is not the predecessor: it proves nothing
+/// about the one that is.
 #[test]
-fn the_word_of_another_host_does_not_count() {
-    let first = Play::leading();
-    let mut play = Play::among(2, 2, first.map.clone(), &[1]);
-    let begun = play.now;
-    play.feed(Event::PeerStopped {
+fn stop_report_of_another_host_does_not_count() {
+    let first = Harness::leading();
+    let mut harness = Harness::with_servers(2, 2, first.map.clone(), &[1]);
+    let begun = harness.now;
+    harness.feed(Event::PeerStopped {
         leader: leader(3),
         epoch: Epoch(1),
         others_left: Duration::ZERO,
     });
-    play.until(|play| play.keys_of(1) == 0);
-    assert!(play.now >= begun + timing::CONFIRMATION_VALID_FOR + longest_hold());
+    harness.run_until(|harness| harness.keys_of(1) == 0);
+    assert!(harness.now >= begun + timing::CONFIRMATION_VALID_FOR + longest_hold());
 }
 
-/// A host that stops says that it sends nothing any more, and its successor has only the hold to wait for.
+/// Guards against a needless wait: a host that stops records that it sends no more grants, and its
+/// successor has to wait for the hold only.
 #[test]
-fn a_successor_of_a_host_that_has_stopped_waits_for_the_hold_only() {
-    let mut first = Play::leading();
+fn successor_of_a_stopped_host_waits_for_the_hold_only() {
+    let mut first = Harness::leading();
     first.feed(Event::ShutdownStarted);
     assert_eq!(first.map.as_ref().unwrap().leader, None);
-    let mut play = Play::new(2, first.map.clone());
-    play.silent.push(server(1, false).id);
-    let took = play.until(|play| play.keys_of(1) == 0);
+    let mut harness = Harness::new(2, first.map.clone());
+    harness.silent.push(server(1, false).id);
+    let took = harness.run_until(|harness| harness.keys_of(1) == 0);
     assert!(took >= longest_hold() && took < longest_hold() + Duration::from_secs(3));
 }
 
-/// Another host has recorded itself. This one must not send another grant.
+/// Guards against a host that sends grants after another one has recorded itself as the leader.
 #[test]
-fn a_replaced_host_stops_at_once() {
-    let mut play = Play::leading();
-    let mut map = play.map.clone().unwrap();
+fn replaced_leader_sends_no_more_grants() {
+    let mut harness = Harness::leading();
+    let mut map = harness.map.clone().unwrap();
     map.begin_epoch(leader(2));
-    play.sent.clear();
-    play.map = Some(map.clone());
-    play.feed(Event::Duty(false));
-    play.feed(Event::Read { sent_at: play.now, map: Some(map) });
-    play.run(Duration::from_secs(5));
-    assert!(play.sent.is_empty() && !play.grantor.leads());
+    harness.sent.clear();
+    harness.map = Some(map.clone());
+    harness.feed(Event::Duty(false));
+    harness.feed(Event::Read { sent_at: harness.now, map: Some(map) });
+    harness.run(Duration::from_secs(5));
+    assert!(harness.sent.is_empty() && !harness.grantor.leads());
 }
 
-/// Callers of every key are refused for five seconds, although all servers are there.
+/// Guards against refusing callers of every key for five seconds although all servers are up.
 ///
-/// The host that grants is told to stop while the store is away. It stopped renewing at once, holds ran out three seconds later, and nobody
-/// could take over before the store was back. It is there for some seconds more, for its last requests, and can renew as long.
+/// The granting host is told to shut down while the store is unreachable. It stopped renewing
+/// immediately, holds expired three seconds later, and no host could take over before the store was
+/// back. The process runs for some seconds more to finish its last requests, and can renew for as
+/// long.
 #[test]
-fn a_host_that_stops_without_the_store_renews_on() {
-    let mut play = Play::leading();
-    play.run_without_store(Duration::from_secs(2));
-    play.feed_without_store(Event::ShutdownStarted);
-    let stopped = play.now;
-    play.run_without_store(Duration::from_secs(4));
-    assert!(play.last_grant_to(1) >= stopped + Duration::from_secs(3), "it renews no more");
-    assert!(play.map.as_ref().unwrap().leader.is_some(), "it says goodbye and renews on");
-    play.run(Duration::from_secs(1));
-    let last = play.last_grant_to(1);
-    assert!(play.map.as_ref().unwrap().leader.is_none(), "its successor is told nothing");
-    play.run(Duration::from_secs(2));
-    assert_eq!(play.last_grant_to(1), last);
+fn shutdown_without_the_store_keeps_renewing() {
+    let mut harness = Harness::leading();
+    harness.run_without_store(Duration::from_secs(2));
+    harness.feed_without_store(Event::ShutdownStarted);
+    let stopped = harness.now;
+    harness.run_without_store(Duration::from_secs(4));
+    assert!(
+        harness.last_grant_to(1) >= stopped + Duration::from_secs(3),
+        "renewals ended with the shutdown"
+    );
+    assert!(
+        harness.map.as_ref().unwrap().leader.is_some(),
+        "it recorded its stop while it still renews"
+    );
+    harness.run(Duration::from_secs(1));
+    let last = harness.last_grant_to(1);
+    assert!(harness.map.as_ref().unwrap().leader.is_none(), "its stop is not recorded");
+    harness.run(Duration::from_secs(2));
+    assert_eq!(harness.last_grant_to(1), last);
 }
 
-/// The process that granted has ended before the store was back, and a server with it. The others heard that it sends no grant any more.
-/// Its successor has only the hold to wait for before the dead server's keys are served again, and not the time for which a host
-/// that is cut off might renew.
+/// Guards against a needless wait when the granting process exits before the store is back, and a
+/// server ends too. The other hosts received its report that it sends no more grants. Its successor
+/// has to wait only for the hold before the dead server's keys are served again, and not for the
+/// time during which a partitioned host might renew.
 #[test]
-fn a_host_that_ended_without_the_store_is_not_waited_for() {
-    let mut first = Play::leading();
+fn host_that_exited_without_the_store_is_not_waited_for() {
+    let mut first = Harness::leading();
     first.run_without_store(Duration::from_secs(2));
     first.feed_without_store(Event::ShutdownStarted);
     first.feed_without_store(Event::Exit);
     assert!(!first.grantor.leads());
-    let others_left = first.told[0];
+    let others_left = first.reported_others_left[0];
 
-    let mut play = Play::waiting(2, first.map.clone(), &[1]);
-    play.feed(Event::PeerStopped { leader: leader(1), epoch: Epoch(1), others_left });
-    play.run(Duration::from_secs(2));
-    let begun = play.now;
-    play.feed(Event::Duty(true));
-    play.until(|play| play.keys_of(1) == 0);
-    let took = play.now - begun;
+    let mut harness = Harness::on_standby(2, first.map.clone(), &[1]);
+    harness.feed(Event::PeerStopped { leader: leader(1), epoch: Epoch(1), others_left });
+    harness.run(Duration::from_secs(2));
+    let begun = harness.now;
+    harness.feed(Event::Duty(true));
+    harness.run_until(|harness| harness.keys_of(1) == 0);
+    let took = harness.now - begun;
     assert!(took >= longest_hold() - timing::MAX_CALL_TIME, "{took:?}");
     assert!(took < longest_hold() + Duration::from_secs(2), "{took:?}");
 }
 
-/// Two servers hold the same keys.
+/// Guards against two servers that hold the same keys.
 ///
-/// A host gave its duty back and said so, led again a second later, and was then cut off. Its successor remembers the first word, and takes
-/// it for the present: it doesn't wait for what the host renews now.
+/// A host gave the duty back and reported that, led again a second later, and was then cut off. If
+/// its successor applied the first report to the later epoch, it would not wait for what the host
+/// renews now.
 #[test]
-fn the_word_of_an_earlier_epoch_does_not_count() {
-    let first = Play::leading();
+fn stop_report_of_an_earlier_epoch_does_not_count() {
+    let first = Harness::leading();
     let mut map = first.map.clone().unwrap();
     map.begin_epoch(leader(1));
     map.rivals.clear();
-    let mut play = Play::waiting(2, Some(map), &[1]);
-    play.feed(Event::PeerStopped {
+    let mut harness = Harness::on_standby(2, Some(map), &[1]);
+    harness.feed(Event::PeerStopped {
         leader: leader(1),
         epoch: Epoch(1),
         others_left: Duration::ZERO,
     });
-    play.run(Duration::from_secs(2));
-    let begun = play.now;
-    play.feed(Event::Duty(true));
-    play.until(|play| play.keys_of(1) == 0);
-    assert!(play.now >= begun + timing::CONFIRMATION_VALID_FOR + longest_hold());
+    harness.run(Duration::from_secs(2));
+    let begun = harness.now;
+    harness.feed(Event::Duty(true));
+    harness.run_until(|harness| harness.keys_of(1) == 0);
+    assert!(harness.now >= begun + timing::CONFIRMATION_VALID_FOR + longest_hold());
 }
 
-/// Two servers run orders for the same key. A server is granted keys under a token below that of another which still has them.
+/// Guards against two servers that execute requests for the same key: one is granted keys under a
+/// token below that of another server that still holds them.
 ///
-/// A host that leads reaches too few servers and gives the duty back; the store doesn't keep its word of it. It is dealt the duty again and
-/// claims. While the claim is on its way a read shows its own record of before, and it took that for the claim: it led on in its old epoch,
-/// whose tokens it began to give out anew.
+/// A leader reaches too few servers and gives the duty back; the store doesn't keep its record of
+/// that. It gets the duty again and claims. While the claim is being appended, a read returns its
+/// own older record, and the host took that for the claim: it led on in its old epoch and began to
+/// reissue that epoch's tokens.
 #[test]
-fn a_record_of_an_earlier_epoch_is_no_answer_to_a_claim() {
-    let mut play = Play::among(3, 1, None, &[]);
-    play.run(Duration::from_secs(2));
-    let before = play.map.clone().unwrap();
-    play.silent = (1..=3).map(|n| server(n, false).id).collect();
-    while play.grantor.leads() {
-        play.run_without_store(TICK);
+fn record_of_an_earlier_epoch_does_not_confirm_a_claim() {
+    let mut harness = Harness::with_servers(3, 1, None, &[]);
+    harness.run(Duration::from_secs(2));
+    let before = harness.map.clone().unwrap();
+    harness.silent = (1..=3).map(|n| server(n, false).id).collect();
+    while harness.grantor.leads() {
+        harness.run_without_store(TICK);
     }
-    assert!(play.resigned);
-    play.feed_without_store(Event::NotRecorded);
-    play.silent.clear();
-    play.now += timing::RESIGN_COOLDOWN + Duration::from_secs(1);
-    play.feed_without_store(Event::Duty(true));
-    play.feed_without_store(Event::Tick);
+    assert!(harness.resigned);
+    harness.feed_without_store(Event::NotRecorded);
+    harness.silent.clear();
+    harness.now += timing::RESIGN_COOLDOWN + Duration::from_secs(1);
+    harness.feed_without_store(Event::Duty(true));
+    harness.feed_without_store(Event::Tick);
 
-    play.sent.clear();
-    play.feed_without_store(Event::Read { sent_at: play.now, map: Some(before.clone()) });
-    play.run_without_store(Duration::from_secs(1));
-    assert!(!play.grantor.leads(), "it leads by a record of before");
-    assert_eq!(play.sent.len(), 0);
+    harness.sent.clear();
+    harness.feed_without_store(Event::Read { sent_at: harness.now, map: Some(before.clone()) });
+    harness.run_without_store(Duration::from_secs(1));
+    assert!(!harness.grantor.leads(), "it leads by its own older record");
+    assert_eq!(harness.sent.len(), 0);
 
-    play.feed(Event::Recorded { sent_at: play.now });
-    play.run(Duration::from_secs(1));
-    assert!(play.grantor.leads());
-    let epoch = play.grantor.map().unwrap().epoch;
+    harness.feed(Event::Recorded { sent_at: harness.now });
+    harness.run(Duration::from_secs(1));
+    assert!(harness.grantor.leads());
+    let epoch = harness.grantor.map().unwrap().epoch;
     assert_eq!(epoch, before.epoch.next());
-    let first = play.grantor.map().unwrap().first_token();
-    assert!(!play.sent.is_empty());
-    assert!(play.sent.iter().all(|(_, _, call)| call.token >= first));
+    let first = harness.grantor.map().unwrap().first_token();
+    assert!(!harness.sent.is_empty());
+    assert!(harness.sent.iter().all(|(_, _, call)| call.token >= first));
 }
 
-/// Two servers run orders for the same key, granted under tokens of two epochs by two hosts that both lead.
+/// Guards against two servers that execute requests for the same key, granted under tokens of two
+/// epochs by two hosts that both lead.
 ///
-/// The duty is dealt anew twice within a second, and the store answers slowly. A host claims; another reads the claim and claims after it; the
-/// first reads that, and then gets the answer to its own claim: kept. It led on from there, put its next record over that of its successor, and
-/// the successor, which read it, stopped and claimed the same epoch again, with the same tokens.
+/// The duty is reassigned twice within a second, and the store answers slowly. A host claims;
+/// another reads the claim and claims after it; the first reads that, and then gets the answer that
+/// its own claim was kept. It led on from there and replaced its successor's record with its next
+/// one. The successor read it, stopped, and claimed the same epoch again, with the same tokens.
 #[test]
-fn a_claim_that_was_followed_by_another_leads_to_nothing() {
-    let first = Play::leading();
-    let mut play = Play::waiting(2, first.map.clone(), &[]);
-    assert!(play.feed_without_store(Event::Duty(true)), "it claims");
+fn claim_followed_by_another_does_not_lead() {
+    let first = Harness::leading();
+    let mut harness = Harness::on_standby(2, first.map.clone(), &[]);
+    assert!(harness.feed_without_store(Event::Duty(true)), "no claim is appended");
     let mut newer = first.map.clone().unwrap();
     newer.begin_epoch(leader(2));
     newer.begin_epoch(leader(3));
 
-    play.feed_without_store(Event::Duty(false));
-    play.feed_without_store(Event::Read { sent_at: play.now, map: Some(newer.clone()) });
-    play.map = Some(newer);
-    play.feed(Event::Recorded { sent_at: play.now });
-    play.run(Duration::from_secs(1));
-    assert!(!play.grantor.leads(), "it leads though it was replaced");
-    assert_eq!((play.sent.len(), play.records.len()), (0, 0));
-    assert!(!play.told.is_empty(), "its successor waits for it");
+    harness.feed_without_store(Event::Duty(false));
+    harness.feed_without_store(Event::Read { sent_at: harness.now, map: Some(newer.clone()) });
+    harness.map = Some(newer);
+    harness.feed(Event::Recorded { sent_at: harness.now });
+    harness.run(Duration::from_secs(1));
+    assert!(!harness.grantor.leads(), "it leads although it was replaced");
+    assert_eq!((harness.sent.len(), harness.records.len()), (0, 0));
+    assert!(!harness.reported_others_left.is_empty(), "its successor is not notified of its stop");
 }
