--- a/crates/jacinthbeam-range/src/grantor/leading/majority.rs
+++ b/crates/jacinthbeam-range/src/grantor/leading/majority.rs
@@ -86,7 +86,7 @@
             return;
         }
         // The last majority of each rival lies before this moment, and the last call that it
-        // permits was sent within [`MAJORITY_VALID_FOR`] of it.
+        // permits was sent within `MAJORITY_VALID_FOR` of it.
         let ends = now + MAJORITY_VALID_FOR + MAX_CALL_TIME + MARGIN;
         self.predecessors_until = self.predecessors_until.min(ends);
     }
--- a/crates/jacinthbeam-range/src/grantor/leading/mod.rs
+++ b/crates/jacinthbeam-range/src/grantor/leading/mod.rs
@@ -35,8 +35,9 @@
 
 /// Assumed duration of a request before any was measured. Only the proportions between servers
 /// matter.
-const ASSUMED_WORK: Duration = Duration::from_millis(200);
+const ASSUMED_SERVICE_TIME: Duration = Duration::from_millis(200);
 
+/// The map in force, what is known about each owner, and the moves in progress.
 #[derive(Debug)]
 pub(in crate::grantor) struct Leading {
     /// The newest record, which names this process as the leader.
@@ -44,6 +45,7 @@
     pub(in crate::grantor) demand: Demand,
     /// When the read or append was sent by which the store last confirmed this leader.
     confirmed_at: Instant,
+    /// When the store was last asked for a confirmation.
     last_check: Option<Instant>,
     /// Until then predecessors may have renewed grants.
     predecessors_until: Instant,
@@ -64,6 +66,7 @@
     moves: Vec<PendingMove>,
     /// Ranges whose owner refused its token; they need a higher one.
     refused: BTreeSet<KeyRange>,
+    /// Ranges that moved recently, each with the time until which it isn't moved again.
     cooling_down: Vec<(Instant, KeyRange)>,
     last_balanced: Option<Instant>,
 }
@@ -155,7 +158,7 @@
         self.predecessors_until
     }
 
-    /// A predecessor has stopped: only calls that it sent before may still arrive, and those of its
+    /// The predecessor has stopped: only calls that it sent before may still arrive, and those of its
     /// own predecessors.
     pub(in crate::grantor) fn on_stopped(&mut self, leader: &Leader, epoch: Epoch, until: Instant) {
         let is_last = epoch.next() == self.map.epoch;
@@ -222,7 +225,7 @@
     }
 
     /// Mean duration of a request over the servers for which it was measured.
-    pub(in crate::grantor) fn mean_work(
+    pub(in crate::grantor) fn mean_service_time(
         &self,
         servers: &Servers,
         service: &ServiceName,
@@ -230,11 +233,12 @@
         let measured: Vec<Duration> =
             servers.of(service).filter_map(|server| self.demand.service_time(&server.id)).collect();
         if measured.is_empty() {
-            return ASSUMED_WORK;
+            return ASSUMED_SERVICE_TIME;
         }
         measured.iter().sum::<Duration>() / measured.len() as u32
     }
 
+    /// A full pass over everything that may be due.
     pub(in crate::grantor) fn act(
         &mut self,
         view: View<'_>,
@@ -307,6 +311,7 @@
         incarnations.map(|(_, state)| state)
     }
 
+    /// Stops grants to servers that have been silent for too long, so that their holds expire.
     fn give_up_lost(&mut self, now: Instant) {
         for state in self.owners.values_mut() {
             state.given_up |= state.is_lost(now);
--- a/crates/jacinthbeam-range/src/grantor/leading/plan.rs
+++ b/crates/jacinthbeam-range/src/grantor/leading/plan.rs
@@ -120,6 +120,7 @@
         actions
     }
 
+    /// Frees ranges whose release was not answered, once the old owner's grants have expired.
     pub(super) fn free_lapsed(&mut self, now: Instant) {
         for moving in &mut self.moves {
             let Stage::Releasing(ordered) = moving.stage else { continue };
--- a/crates/jacinthbeam-range/src/grantor/leading/record.rs
+++ b/crates/jacinthbeam-range/src/grantor/leading/record.rs
@@ -69,6 +69,7 @@
         is_stale
     }
 
+    /// Assigns ranges that their old owners have given up to the targets of their moves.
     pub(super) fn assign_freed(&self, map: &mut Map) -> bool {
         let mut changed = false;
         for moving in &self.moves {
@@ -103,6 +104,7 @@
         changed
     }
 
+    /// Assigns ranges that no server can hold any more to other servers.
     pub(super) fn reassign_lapsed(
         &mut self,
         map: &mut Map,
@@ -119,6 +121,8 @@
         let expected = self.expected();
         let moves = balance::place(&expected, &self.demand.rates(&self.map), &candidates, &lapsed);
         if moves.is_empty() {
+            // No server can take the keys, so grants to their owners are resumed, unless a record in
+            // doubt may have given the keys to another server.
             if !self.in_doubt.is_empty() {
                 return false;
             }
--- a/crates/jacinthbeam-range/src/grantor/mod.rs
+++ b/crates/jacinthbeam-range/src/grantor/mod.rs
@@ -54,13 +54,16 @@
 pub struct Grantor {
     service: ServiceName,
     me: Leader,
+    /// Whether the store's consumer group has assigned the duty to grant to this host.
     duty: bool,
     /// When this process was told to shut down.
     stopping: Option<Instant>,
     /// Whether the newest record has been read from the store.
     has_read: bool,
+    /// The newest record that was read or successfully appended.
     newest: Option<Map>,
     claim: Option<Claim>,
+    /// No claim is made before this time.
     next_claim: Option<Instant>,
     leading: Option<Leading>,
     /// Number of appended records whose result has not arrived.
@@ -104,7 +107,7 @@
         }
     }
 
-    /// Whether this process leads, to its own knowledge.
+    /// Whether this process leads, as far as it knows.
     pub fn leads(&self) -> bool {
         self.leading.is_some()
     }
@@ -113,11 +116,11 @@
     /// the least urgent requests. Empty unless this process leads.
     pub fn gates(&self, view: View<'_>, objective: Duration) -> BTreeMap<ServerId, Gate> {
         let Some(leading) = &self.leading else { return BTreeMap::new() };
-        let mean = leading.mean_work(view.servers, &self.service);
+        let mean = leading.mean_service_time(view.servers, &self.service);
         let servers = view.servers.iter().filter(|server| server.service == self.service);
         let gate = |server: &Server| {
-            let work = leading.demand.service_time(&server.id).unwrap_or(mean);
-            let load = leading.demand.load(&server.id, server.slots, work)?;
+            let service_time = leading.demand.service_time(&server.id).unwrap_or(mean);
+            let load = leading.demand.load(&server.id, server.slots, service_time)?;
             Some((server.id.clone(), admission::gate(&load, objective)?))
         };
         servers.filter_map(gate).collect()
@@ -334,11 +337,11 @@
     let servers = view.servers.of(service).filter(|server| leading.is_usable(&server.id));
     let (bounded, free): (Vec<&Server>, Vec<&Server>) =
         servers.partition(|server| server.is_cold() && server.cold_rate.is_some());
-    let mean = leading.mean_work(view.servers, service);
+    let mean = leading.mean_service_time(view.servers, service);
     let candidate = |server: &Server| {
-        let work = leading.demand.service_time(&server.id).unwrap_or(mean);
+        let service_time = leading.demand.service_time(&server.id).unwrap_or(mean);
         let owner = Owner { server: server.id.clone(), addr: server.addr };
-        let capacity = f64::from(server.slots) / work.as_secs_f64().max(0.001);
+        let capacity = f64::from(server.slots) / service_time.as_secs_f64().max(0.001);
         let cold = server.is_cold();
         let capacity = if cold { cold_capacity(server, capacity) } else { capacity };
         Candidate { owner, capacity, cold }
--- a/crates/jacinthbeam-range/src/grantor/pending_move.rs
+++ b/crates/jacinthbeam-range/src/grantor/pending_move.rs
@@ -6,13 +6,14 @@
 
 use crate::{key::KeyRange, map::Owner};
 
-/// When the release was ordered. Every grant of the range to its old owner was sent before that.
+/// When the release was ordered. Every grant of the range to its old owner was sent before that,
+/// and none is sent after it.
 pub(super) type OrderedAt = Instant;
 
 /// Progress of a move.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum Stage {
-    /// The old owner may have a renewal in flight. The release is sent only after that, since no
+    /// The old owner may have a renewal in flight. The release is sent once that has ended, since no
     /// renewal may follow it.
     Waiting,
     /// The release was sent. It is answered when the running requests have ended.
--- a/crates/jacinthbeam-range/src/grantor/stopping.rs
+++ b/crates/jacinthbeam-range/src/grantor/stopping.rs
@@ -10,7 +10,7 @@
 
 /// How many hosts' reports that they stopped are kept. A successor needs those of one or two, and
 /// the hosts of a fleet stop one after the other.
-const STOPPED_KEPT: usize = 16;
+const MAX_STOPPED_REPORTS: usize = 16;
 
 /// A host that reported that it no longer grants.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -66,7 +66,7 @@
         self.while_leading(|leading| leading.on_stopped(&leader, epoch, until));
         self.stopped.retain(|stopped| stopped.leader != leader);
         self.stopped.push(Stopped { leader, epoch, until });
-        if self.stopped.len() > STOPPED_KEPT {
+        if self.stopped.len() > MAX_STOPPED_REPORTS {
             self.stopped.remove(0);
         }
     }
