--- a/crates/jacinthbeam-range/tests/grantor/server.rs
+++ b/crates/jacinthbeam-range/tests/grantor/server.rs
@@ -110,12 +110,12 @@
     let mut harness = Harness::leading();
     harness.servers.insert(server(1, true));
     harness.run_until(|harness| !harness.releases.is_empty());
-    let asked = harness.now;
+    let ordered_at = harness.now;
     for (range, token) in std::mem::take(&mut harness.releases) {
         harness.feed(Event::Released { range, token, handover: Err(NoAnswer) });
     }
     harness.run_until(|harness| harness.keys_of(1) == 0);
-    assert!(harness.now >= asked + longest_hold());
+    assert!(harness.now >= ordered_at + longest_hold());
 }
 
 /// Guards against refusing callers of a draining server's keys for seven seconds.
@@ -128,10 +128,10 @@
     let mut harness = Harness::leading();
     harness.servers.insert(server(1, true));
     harness.run_until(|harness| !harness.releases.is_empty());
-    let asked = harness.now;
+    let ordered_at = harness.now;
     let released = std::mem::take(&mut harness.releases);
     harness.run_until(|harness| harness.keys_of(1) == 0);
-    let took = harness.now - asked;
+    let took = harness.now - ordered_at;
     assert!(took >= longest_hold() && took <= longest_hold() + TICK * 2, "{took:?}");
     // The release times out, and its answer arrives after all. Neither takes the keys back.
     for (range, token) in released {
