--- a/crates/jacinthbeam-range/src/key.rs
+++ b/crates/jacinthbeam-range/src/key.rs
@@ -22,38 +22,38 @@
     }
 }
 
-/// Adjacent keys, both ends included. Never empty.
+/// A contiguous, never empty range of keys, both ends included.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct KeyRange {
-    /// The lowest key.
+    /// Lowest key.
     pub first: Key,
-    /// The highest key, not below `first`.
+    /// Highest key, at least `first`.
     pub last: Key,
 }
 
-/// Number of keys that a service has.
+/// Number of keys of a service.
 pub const KEY_COUNT: u32 = 1 << 16;
 
 impl KeyRange {
     /// Every key.
     pub const ALL: Self = Self { first: Key(0), last: Key(u16::MAX) };
 
-    /// The keys from `first` to `last`, or `None` if there are none.
+    /// The keys from `first` to `last`, or `None` if `first` is above `last`.
     pub fn new(first: u16, last: u16) -> Option<Self> {
         (first <= last).then_some(Self { first: Key(first), last: Key(last) })
     }
 
-    /// Whether `key` is in the range.
+    /// Whether the range includes `key`.
     pub fn contains(self, key: Key) -> bool {
         self.first <= key && key <= self.last
     }
 
-    /// Whether the ranges share a key.
+    /// Whether the two ranges have a key in common.
     pub fn overlaps(self, other: Self) -> bool {
         self.first <= other.last && other.first <= self.last
     }
 
-    /// Whether all keys of `other` are in this range.
+    /// Whether this range includes every key of `other`.
     pub fn covers(self, other: Self) -> bool {
         self.first <= other.first && other.last <= self.last
     }
@@ -63,22 +63,22 @@
         u32::from(self.last.0) - u32::from(self.first.0) + 1
     }
 
-    /// The keys below `other`, if there are any.
+    /// The part of this range below `other`, if any.
     pub fn below(self, other: Self) -> Option<Self> {
         (self.first < other.first).then(|| Self { first: self.first, last: Key(other.first.0 - 1) })
     }
 
-    /// The keys above `other`, if there are any.
+    /// The part of this range above `other`, if any.
     pub fn above(self, other: Self) -> Option<Self> {
         (self.last > other.last).then(|| Self { first: Key(other.last.0 + 1), last: self.last })
     }
 
-    /// Cuts the range into at most `pieces` ranges whose widths differ by one at the most.
+    /// Splits the range into at most `pieces` ranges whose widths differ by at most one key.
     pub fn split_evenly(self, pieces: u32) -> Vec<Self> {
         let pieces = pieces.clamp(1, self.width());
-        let at = |n: u32| u32::from(self.first.0) + (self.width() * n) / pieces;
+        let start = |n: u32| u32::from(self.first.0) + (self.width() * n) / pieces;
         (0..pieces)
-            .map(|n| Self { first: Key(at(n) as u16), last: Key((at(n + 1) - 1) as u16) })
+            .map(|n| Self { first: Key(start(n) as u16), last: Key((start(n + 1) - 1) as u16) })
             .collect()
     }
 }
@@ -89,7 +89,7 @@
     }
 }
 
-/// A range is written `first-last`, two numbers of which the second is not below the first.
+/// The text is not a key range: two numbers `first-last` with `first <= last`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ParseError;
 
--- a/crates/jacinthbeam-range/src/map.rs
+++ b/crates/jacinthbeam-range/src/map.rs
@@ -1,4 +1,4 @@
-//! Who owns which keys of one service.
+//! The ownership map of one service: which backend server owns which keys.
 
 mod delta;
 
@@ -11,71 +11,73 @@
 
 use crate::key::{KEY_COUNT, Key, KeyRange};
 
-/// A life of a backend server that owns keys.
+/// One incarnation of a backend server, as an owner of keys.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Owner {
-    /// Drawn by the server at its start, so another life is another owner.
+    /// Differs for every start of the server, so that a restarted server is another owner.
     pub server: ServerId,
-    /// Where it takes grants and requests.
+    /// Address that receives grants and requests.
     pub addr: SocketAddr,
 }
 
-/// One range and its owner.
+/// One range of a map with its owner and fencing token.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Assignment {
     /// The keys.
     pub range: KeyRange,
-    /// `None` while nobody may hold them.
+    /// The only server that may be granted the range, or `None` if there is none at present.
     pub owner: Option<Owner>,
-    /// Token of the grant. Above every token that another owner had for one of these keys.
+    /// Fencing token of the grant, above every token under which another owner had one of the keys.
     pub token: Token,
-    /// What the last owner gave out at its release, for the next one to start warm.
+    /// State that the previous owner returned at its release, passed on so that the next owner starts
+    /// warm.
     pub handover: Option<String>,
 }
 
-/// The life of a host's process that grants the keys.
+/// The incarnation of a host's process that grants the keys.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Leader {
     /// The host.
     pub host: HostId,
-    /// The life of its process. A restarted process is another leader: it knows nothing of what was sent.
+    /// A restarted process is another leader, since it has lost track of the grants that it sent.
     pub incarnation: Incarnation,
-    /// Where it takes reports of load.
+    /// Address that receives load reports.
     pub addr: SocketAddr,
 }
 
-/// The owners of all keys of a service. The ranges are ascending, disjoint and cover every key.
+/// The ownership map of a service. Its ranges are ascending, disjoint and cover every key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Map {
-    /// Rises each time that another life of a process takes over the granting.
+    /// Incremented each time a process takes over as leader.
     pub epoch: Epoch,
-    /// Who grants now. `None` if the last one has stopped and said that it sends no grant any more.
+    /// The current leader. `None` if the last one has stopped and confirmed that it sends no more grants.
     pub leader: Option<Leader>,
-    /// Counts the records of this epoch.
+    /// Number of the record within the epoch.
     pub version: u32,
-    /// For each leader of an earlier epoch that may still renew, the owners of its last map. Empty once nobody can.
+    /// For each leader of an earlier epoch that may still renew grants, the owners in its last map.
+    /// Empty once none of them can.
     pub rivals: Vec<BTreeSet<ServerId>>,
     held: Vec<Assignment>,
 }
 
-/// Tokens of one epoch. A leader that gives out ten a second would need a day for them.
+/// Number of tokens in one epoch. A leader that issues ten a second uses them up in a day.
 pub const TOKENS_PER_EPOCH: u64 = 1 << 20;
 
-/// Why bytes are no map.
+/// Why a record could not be read as a map.
 #[derive(Debug)]
 pub enum Error {
-    /// The bytes can't be decoded.
+    /// The record can't be decoded.
     Codec(bincode::error::DecodeError),
-    /// The ranges leave out a key or hold one twice.
+    /// The ranges are not ascending, overlap, or don't cover every key.
     Ranges,
 }
 
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Codec(err) => write!(f, "the record is no ownership map: {err}"),
+            Self::Codec(err) => write!(f, "can't decode the ownership map: {err}"),
             Self::Ranges => {
-                f.write_str("the ranges of the ownership map don't cover each key once")
+                f.write_str("the ranges of the ownership map don't cover every key exactly once")
             }
         }
     }
@@ -84,60 +86,61 @@
 impl std::error::Error for Error {}
 
 impl Map {
-    /// A map in which nobody owns anything.
+    /// A map in which no key has an owner.
     pub fn unowned() -> Self {
         let token = Token(0);
         let all = Assignment { range: KeyRange::ALL, owner: None, token, handover: None };
         Self { epoch: Epoch(0), leader: None, version: 0, rivals: Vec::new(), held: vec![all] }
     }
 
-    /// The ranges in ascending order.
+    /// All ranges with their owners, in ascending order.
     pub fn assignments(&self) -> &[Assignment] {
         &self.held
     }
 
-    /// The range that `key` lies in.
+    /// The range that includes `key`.
     pub fn lookup(&self, key: Key) -> &Assignment {
-        let after = self.held.partition_point(|held| held.range.first <= key);
+        let after = self.held.partition_point(|assignment| assignment.range.first <= key);
         &self.held[after - 1]
     }
 
-    /// The ranges of one owner.
+    /// The ranges of one owner, in ascending order.
     pub fn owned_by<'a>(&'a self, server: &'a ServerId) -> impl Iterator<Item = &'a Assignment> {
-        let owns =
-            move |held: &&Assignment| held.owner.as_ref().is_some_and(|o| o.server == *server);
-        self.held.iter().filter(owns)
+        let is_owner = move |assignment: &&Assignment| {
+            assignment.owner.as_ref().is_some_and(|o| o.server == *server)
+        };
+        self.held.iter().filter(is_owner)
     }
 
-    /// The lowest token of the epoch. Those of earlier epochs are all below it.
+    /// The lowest token of the epoch, above all tokens of earlier epochs.
     pub fn first_token(&self) -> Token {
         Token(self.epoch.0 * TOKENS_PER_EPOCH)
     }
 
-    /// Everybody who owns a key.
+    /// All servers that own a key.
     pub fn owners(&self) -> BTreeSet<ServerId> {
-        let owners = self.held.iter().filter_map(|held| held.owner.as_ref());
+        let owners = self.held.iter().filter_map(|assignment| assignment.owner.as_ref());
         owners.map(|owner| owner.server.clone()).collect()
     }
 
-    /// Keys that nobody owns.
+    /// Number of keys without an owner.
     pub fn unowned_keys(&self) -> u32 {
-        let free = self.held.iter().filter(|held| held.owner.is_none());
-        free.map(|held| held.range.width()).sum()
+        let unowned = self.held.iter().filter(|assignment| assignment.owner.is_none());
+        unowned.map(|assignment| assignment.range.width()).sum()
     }
 
-    /// Keys that have another owner here than in `before`; first owners don't count.
+    /// Number of keys that had an owner in `before` and don't have the same one now.
     pub fn moved_since(&self, before: &Self) -> u32 {
         let mut moved = 0;
         let mut begin = 0;
-        for held in &self.held {
-            // Both are ascending: ranges that end before this one end before all later ones.
-            begin += before.held[begin..].partition_point(|old| old.range.last < held.range.first);
+        for new in &self.held {
+            // Both maps are ascending, so what ends below this range ends below all later ones.
+            begin += before.held[begin..].partition_point(|old| old.range.last < new.range.first);
             let overlapping = before.held[begin..].iter();
-            for old in overlapping.take_while(|old| old.range.first <= held.range.last) {
-                let first = old.range.first.max(held.range.first);
-                let last = old.range.last.min(held.range.last);
-                if old.owner.is_some() && old.owner != held.owner {
+            for old in overlapping.take_while(|old| old.range.first <= new.range.last) {
+                let first = old.range.first.max(new.range.first);
+                let last = old.range.last.min(new.range.last);
+                if old.owner.is_some() && old.owner != new.owner {
                     moved += KeyRange { first, last }.width();
                 }
             }
@@ -145,14 +148,16 @@
         moved
     }
 
-    /// Whether this is an earlier record of the same log than `other`.
+    /// Whether this map was recorded before `other` in the same log.
     pub fn is_older_than(&self, other: &Self) -> bool {
         (self.epoch, self.version) < (other.epoch, other.version)
     }
 
-    /// Starts the next epoch under `leader`: same owners, and for every range a token above all earlier ones.
+    /// Starts the next epoch under `leader`: the owners stay, and every range gets a token above all
+    /// earlier ones.
     ///
-    /// A predecessor that doesn't know yet that it was replaced has its grants refused from then on.
+    /// A server that has been granted its range under the new token refuses the grants of a former
+    /// leader, also while that leader doesn't know yet that it was replaced.
     pub fn begin_epoch(&mut self, leader: Leader) {
         if self.leader.is_some() {
             self.rivals.push(self.owners());
@@ -161,13 +166,13 @@
         self.leader = Some(leader);
         self.version = 0;
         let token = self.first_token();
-        for held in &mut self.held {
-            held.token = token;
+        for assignment in &mut self.held {
+            assignment.token = token;
         }
         self.merge_adjacent();
     }
 
-    /// Gives `range` to `owner` under `token`.
+    /// Assigns `range` to `owner` under `token`, splitting the ranges that it overlaps.
     pub fn assign(
         &mut self,
         range: KeyRange,
@@ -177,39 +182,41 @@
     ) {
         let mut next = Vec::with_capacity(self.held.len() + 2);
         let mut new = Some(Assignment { range, owner, token, handover });
-        for held in self.held.drain(..) {
-            if !held.range.overlaps(range) {
-                if held.range.first > range.last {
+        for old in self.held.drain(..) {
+            if !old.range.overlaps(range) {
+                if old.range.first > range.last {
                     next.extend(new.take());
                 }
-                next.push(held);
+                next.push(old);
                 continue;
             }
             next.extend(
-                held.range.below(range).map(|rest| Assignment { range: rest, ..held.clone() }),
+                old.range.below(range).map(|rest| Assignment { range: rest, ..old.clone() }),
             );
-            if let Some(rest) = held.range.above(range) {
+            if let Some(rest) = old.range.above(range) {
                 next.extend(new.take());
-                next.push(Assignment { range: rest, ..held });
+                next.push(Assignment { range: rest, ..old });
             }
         }
         next.extend(new);
         self.held = next;
     }
 
-    /// Joins ranges that lie side by side and have the same owner and token, so that one grant serves for both.
+    /// Merges adjacent ranges with the same owner and token, so that a single grant covers them. The
+    /// handover of merged ranges is dropped.
     pub fn merge_adjacent(&mut self) {
-        self.held.dedup_by(|next, held| {
-            let same = held.owner == next.owner && held.token == next.token;
+        self.held.dedup_by(|next, kept| {
+            let same = kept.owner == next.owner && kept.token == next.token;
             if same {
-                held.range.last = next.range.last;
-                held.handover = None;
+                kept.range.last = next.range.last;
+                kept.handover = None;
             }
             same
         });
     }
 
-    /// Neighbours of one owner that differ only by token: ranges that one grant under a new token could replace.
+    /// Runs of adjacent ranges that have the same owner. A single grant under a new token could replace
+    /// each run.
     pub fn mergeable(&self) -> Vec<KeyRange> {
         let mut found: Vec<KeyRange> = Vec::new();
         for pair in self.held.windows(2) {
@@ -224,27 +231,27 @@
         found
     }
 
-    /// The map as it is kept in the store.
+    /// Encodes the map as a record of the store.
     pub fn to_bytes(&self) -> Vec<u8> {
         let cfg = bincode::config::standard();
-        bincode::serde::encode_to_vec(self, cfg).expect("a map has no type that can't be encoded")
+        bincode::serde::encode_to_vec(self, cfg).expect("every type in a map can be encoded")
     }
 
-    /// Reads back what [`Map::to_bytes`] gave.
+    /// Decodes what [`Map::to_bytes`] returned, and checks that each key is covered exactly once.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self, Error> {
         let cfg = bincode::config::standard();
         let (map, _): (Self, usize) =
             bincode::serde::decode_from_slice(bytes, cfg).map_err(Error::Codec)?;
-        if map.is_whole() { Ok(map) } else { Err(Error::Ranges) }
+        if map.covers_each_key_once() { Ok(map) } else { Err(Error::Ranges) }
     }
 
-    fn is_whole(&self) -> bool {
+    fn covers_each_key_once(&self) -> bool {
         let mut next = 0;
-        for held in &self.held {
-            if u32::from(held.range.first.0) != next || held.range.first > held.range.last {
+        for KeyRange { first, last } in self.held.iter().map(|assignment| assignment.range) {
+            if u32::from(first.0) != next || first > last {
                 return false;
             }
-            next = u32::from(held.range.last.0) + 1;
+            next = u32::from(last.0) + 1;
         }
         next == KEY_COUNT
     }
--- a/crates/jacinthbeam-range/src/map/delta.rs
+++ b/crates/jacinthbeam-range/src/map/delta.rs
@@ -1,7 +1,8 @@
-//! What one map says otherwise than an earlier one.
+//! The difference between two maps of the same log.
 //!
-//! A map of 442 owners has up to 2,500 ranges and 93 KB, and a busy granting host records ten a second, each of which names another owner for
-//! a few ranges. Told whole, a host that 58 others follow would have to send 54 MB a second.
+//! A map of 442 owners has up to 2,500 ranges and takes 93 KB. A busy leader records ten maps a second,
+//! and each differs from the one before in a few ranges. With whole maps, a host that 58 others poll
+//! would send 54 MB a second.
 
 use std::collections::BTreeSet;
 
@@ -11,57 +12,58 @@
 use super::{Assignment, Leader, Map};
 use crate::key::KeyRange;
 
-/// Epoch and version of a map. No two maps of a log share one, and later ones have higher ones.
+/// Epoch and version of a map: unique within a log, and ascending.
 pub type Revision = (Epoch, u32);
 
-/// A map, as far as it differs from one that the reader has.
+/// What turns one map into a later one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MapDelta {
-    /// The map that they are told against.
+    /// The map that the delta applies to.
     pub from: Revision,
-    /// The map that they lead to.
+    /// The map that it results in.
     pub to: Revision,
     leader: Option<Leader>,
     rivals: Vec<BTreeSet<ServerId>>,
-    /// Ranges of the later map, ascending. Each range of the earlier one that they overlap lies in them whole.
+    /// Ranges of the later map, ascending. Together they cover every range of the earlier map that any of
+    /// them overlaps.
     held: Vec<Assignment>,
 }
 
 impl Map {
-    /// Where it stands among the maps of its log.
+    /// Epoch and version of the map.
     pub fn revision(&self) -> Revision {
         (self.epoch, self.version)
     }
 
-    /// The ranges that are not the same in `earlier`, joined where they lie side by side.
+    /// The ranges that differ from `earlier`, adjacent ones merged.
     ///
-    /// Both maps cover each key once, so that these ranges are whole ones of `earlier` too: what is left of a range that was cut is another
-    /// range.
+    /// Each of the returned ranges also starts and ends where ranges of `earlier` do: both maps cover each
+    /// key once, and every remainder of a range that was split counts as changed.
     pub fn changed_ranges_since(&self, earlier: &Self) -> Vec<KeyRange> {
         let mut changed: Vec<KeyRange> = Vec::new();
         let mut old = earlier.held.iter().peekable();
-        for held in &self.held {
-            while old.next_if(|old| old.range.first < held.range.first).is_some() {}
-            if old.peek() == Some(&held) {
+        for new in &self.held {
+            while old.next_if(|old| old.range.first < new.range.first).is_some() {}
+            if old.peek() == Some(&new) {
                 continue;
             }
             match changed.last_mut() {
-                Some(last) if u32::from(last.last.0) + 1 == u32::from(held.range.first.0) => {
-                    last.last = held.range.last;
+                Some(last) if u32::from(last.last.0) + 1 == u32::from(new.range.first.0) => {
+                    last.last = new.range.last;
                 }
-                _ => changed.push(held.range),
+                _ => changed.push(new.range),
             }
         }
         changed
     }
 
-    /// What to tell somebody who has the map `from`, if `ranges` are all that changed since.
+    /// The delta for a reader that has the map `from`. `ranges` are all ranges that have changed since.
     pub fn delta(&self, from: Revision, ranges: &[KeyRange]) -> MapDelta {
         let mut held = Vec::new();
         let mut next = 0;
         for range in ranges {
-            let begin = self.held.partition_point(|held| held.range.last < range.first).max(next);
-            let end = self.held.partition_point(|held| held.range.first <= range.last).max(begin);
+            let begin = self.held.partition_point(|a| a.range.last < range.first).max(next);
+            let end = self.held.partition_point(|a| a.range.first <= range.last).max(begin);
             held.extend_from_slice(&self.held[begin..end]);
             next = end;
         }
@@ -69,7 +71,8 @@
         MapDelta { from, to: self.revision(), leader, rivals, held }
     }
 
-    /// The map that the changes lead to. `None` if they were told against another one, or don't fit.
+    /// The map that the delta results in. `None` if the delta is for another map than this, or if the
+    /// result doesn't cover each key exactly once.
     pub fn apply(&self, delta: &MapDelta) -> Option<Self> {
         if self.revision() != delta.from {
             return None;
@@ -87,6 +90,6 @@
         let (epoch, version) = delta.to;
         let (leader, rivals) = (delta.leader.clone(), delta.rivals.clone());
         let map = Self { epoch, leader, version, rivals, held };
-        map.is_whole().then_some(map)
+        map.covers_each_key_once().then_some(map)
     }
 }
