--- a/crates/jacinthbeam-range/src/admission.rs
+++ b/crates/jacinthbeam-range/src/admission.rs
@@ -1,39 +1,43 @@
-//! How much of what is asked of an owner it should be sent, so that what it is sent is answered in time.
+//! Admission control: sheds load for an overloaded owner, so that what is admitted is answered in time.
 //!
-//! The pattern it answers: for some seconds an owner is asked for more than it can work off. It takes what comes until its
-//! queue is full, and from then on every request waits for the whole queue: with three slots, twelve places and 0.22 s of
-//! work, 0.9 s. As many are served as before, but all too late to be worth much. A host alone can't see it coming, since it
-//! sends a server less than one request a second.
+//! The failure it prevents: for some seconds, requests for an owner's keys arrive faster than it can
+//! serve them. Its queue fills, and from then on every request waits for the whole queue: 0.9 s with
+//! three slots, room for twelve requests and a service time of 0.22 s. Throughput stays the same, but
+//! every answer comes too late to be worth much. No single host can detect this, since each sends an
+//! owner less than one request a second.
 //!
-//! The host that grants the keys hears from all others what is asked of each owner and how many requests are there. It lets in
-//! what the owner works off, and besides what brings the number of waiting requests to the one that the objective allows. The
-//! surplus is refused at once, the least urgent first, and may come back when there is room.
+//! The leader receives load reports from all hosts, and so knows each owner's arrival rate and requests in
+//! flight. It admits as many requests as the owner can serve, corrected so that the queue approaches the
+//! length that the latency objective allows. The rest is refused immediately, the least urgent requests
+//! first, and callers may retry when there is capacity.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use serde::{Deserialize, Serialize};
 
-/// Time within which a number of waiting requests is brought to the wanted one. Shorter than what is known of it is old (a
-/// report and a message, some 0.3 s) would overshoot.
-const SETTLE: Duration = Duration::from_millis(800);
+/// Time in which the number of requests in flight is brought to its target. A time below the delay of
+/// the measurement (a load report and a gate message, some 0.3 s) would overshoot.
+const CORRECTION_TIME: Duration = Duration::from_millis(800);
 
-/// Part of the objective that a request may spend at the owner. The rest is for the way, and for the spread of the work.
-const USABLE: f64 = 0.8;
+/// Part of the latency objective that a request may spend at the owner. The rest is for the network and
+/// for the variance of service times.
+const OBJECTIVE_AT_OWNER: f64 = 0.8;
 
-/// An owner with no more requests than this multiple of its slots has nobody waiting to speak of.
-const BUSY: f64 = 1.15;
+/// Requests in flight per slot up to which an owner has practically no queue.
+const QUEUE_FREE_IN_FLIGHT_PER_SLOT: f64 = 1.15;
 
-/// Which requests an owner is to be sent.
+/// Which requests for an owner are admitted.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Gate {
-    /// Requests of this rank are let in by their share, more urgent ones (of a lower rank) all, others none.
+    /// Requests of a lower rank, which are more urgent, are all admitted; those of a higher rank are all
+    /// refused; of those of this rank, `share` is admitted.
     pub rank: u32,
-    /// Part of them that is let in, from 0 to 1.
+    /// Fraction of the requests of this rank that is admitted, from 0 to 1.
     pub share: f64,
 }
 
 impl Gate {
-    /// Whether a request of this rank is let in. `random` is a number from 0 to 1.
+    /// Whether to admit a request of this rank. `random` is uniform in 0 to 1.
     pub fn admits(self, rank: u32, random: f64) -> bool {
         match rank.cmp(&self.rank) {
             std::cmp::Ordering::Less => true,
@@ -43,33 +47,35 @@
     }
 }
 
-/// What is known of an owner at one moment.
+/// The measured load of an owner.
 #[derive(Debug, Clone, PartialEq)]
 pub struct OwnerLoad {
-    /// Requests that it works on at a time.
+    /// Number of requests that it processes concurrently.
     pub slots: u32,
-    /// Time that a request takes in a slot.
+    /// Time that a request occupies a slot.
     pub service_time: Duration,
-    /// Requests that are there, waiting ones included.
+    /// Requests at the owner, queued ones included.
     pub in_flight: f64,
-    /// Requests a second that are asked of it, by rank.
+    /// Requests a second that arrive for its keys, by rank, refused ones included.
     pub arrival_rates: BTreeMap<u32, f64>,
 }
 
-/// What an owner should be sent, if that is less than what is asked of it.
+/// The gate that keeps an owner within the latency objective, or `None` if all requests can be admitted.
 pub fn gate(load: &OwnerLoad, objective: Duration) -> Option<Gate> {
     let slots = f64::from(load.slots);
-    if load.in_flight <= slots * BUSY {
+    if load.in_flight <= slots * QUEUE_FREE_IN_FLIGHT_PER_SLOT {
         return None;
     }
-    let work = load.service_time.as_secs_f64().max(0.001);
-    let wanted = (slots * USABLE * objective.as_secs_f64() / work).max(slots);
-    let mut room = slots / work + (wanted - load.in_flight) / SETTLE.as_secs_f64();
+    let service_time = load.service_time.as_secs_f64().max(0.001);
+    let target_in_flight =
+        (slots * OBJECTIVE_AT_OWNER * objective.as_secs_f64() / service_time).max(slots);
+    let mut admissible_rate =
+        slots / service_time + (target_in_flight - load.in_flight) / CORRECTION_TIME.as_secs_f64();
     for (rank, rate) in &load.arrival_rates {
-        if *rate > room {
-            return Some(Gate { rank: *rank, share: (room / rate).max(0.0) });
+        if *rate > admissible_rate {
+            return Some(Gate { rank: *rank, share: (admissible_rate / rate).max(0.0) });
         }
-        room -= rate;
+        admissible_rate -= rate;
     }
     None
 }
--- a/crates/jacinthbeam-range/src/balance.rs
+++ b/crates/jacinthbeam-range/src/balance.rs
@@ -1,11 +1,13 @@
-//! Which narrow ranges to move so that no owner has much more to do than the others.
+//! Load balancing: which narrow ranges to move so that no owner is much more loaded than the others.
 //!
-//! The pattern it answers: a few hundred keys that lie side by side take a third of all requests and change within seconds.
-//! An even division of the keys gives them all to one or two owners. Moving the narrowest window that carries the surplus
-//! spreads them with few keys changing hands, and each move costs its keys only the time until their running requests end.
+//! Two load patterns decide the design. In the first, a few hundred adjacent keys receive a third of
+//! all requests, and other keys become hot within seconds. An even division of the keys gives them all
+//! to one or two owners. Moving the narrowest window that carries the surplus spreads the load while
+//! few keys change owners, and each move makes its keys unavailable only until their running requests
+//! end.
 //!
-//! The other one: a single key takes a third. It can't be divided, so its owner is relieved of all other keys, and the key itself goes
-//! to a faster server if its owner is a slow one.
+//! In the second, a single key receives a third of all requests. It can't be split, so all other keys
+//! are moved away from its owner, and the key itself moves to a faster server if its owner is slow.
 
 use std::collections::BTreeMap;
 
@@ -20,59 +22,63 @@
 /// A server that can own keys.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Candidate {
-    /// Who it is.
+    /// The server.
     pub owner: Owner,
-    /// Requests a second that it can work off: its slots over the time that a request takes.
+    /// Requests a second that it can serve: its slots divided by the service time.
     pub capacity: f64,
-    /// Whether it is cold, so that a key alone may be more than it takes.
+    /// Whether it is cold, so that a single hot key may exceed the rate that it accepts.
     pub cold: bool,
 }
 
 /// A proposed change of owner.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Move {
-    /// Keys of one owner.
+    /// The keys to move, all of one owner.
     pub range: KeyRange,
-    /// Who gets them.
+    /// Their new owner.
     pub to: Owner,
 }
 
-/// An owner is relieved when it has this much more than its share. Below it the error of the counts (some 20 % of an
-/// ordinary server's) would cause moves that gain nothing.
-const SURPLUS: f64 = 1.25;
+/// Ratio of an owner's load to its share above which keys are moved away from it. With a lower ratio the
+/// error of the counts (some 20 % for an average server) would cause moves that gain nothing.
+const OVERLOAD_RATIO: f64 = 1.25;
 
-/// An owner is given work up to this much more than its share. Up to the share alone, the last of a surplus would find only
-/// owners that lack less than is worth moving, and stay.
-const FILLED: f64 = 1.15;
+/// Ratio of an owner's load to its share up to which it receives keys. With a ratio of 1, the rest of a
+/// surplus would stay where it is, since every other owner would lack less than [`MIN_MOVED_COUNT`].
+const FILL_RATIO: f64 = 1.15;
 
-/// A surplus counts only if it is this many standard errors of the count (its square root) above the share.
-const CERTAINTY: f64 = 2.0;
+/// Number of standard errors (square roots of the count) by which a load must exceed its share to count
+/// as a surplus.
+const MIN_STANDARD_ERRORS: f64 = 2.0;
 
-/// Part of its capacity that a server which has just started is given work for.
+/// Fraction of its warm capacity up to which a cold server is assigned load.
 pub const COLD_CAPACITY_SHARE: f64 = 0.5;
 
-/// Smallest count worth moving: a request a second, as [`crate::demand::DECAY_TIME`] counts it.
-const WORTH_MOVING: f64 = 4.0;
+/// Smallest decayed count that is worth a move: one request a second over
+/// [`crate::demand::DECAY_TIME`].
+const MIN_MOVED_COUNT: f64 = 4.0;
 
-/// A key that overwhelms its owner moves to a server that can do this much more. The move costs its requests the time until the
-/// old owner has answered what it had, up to a second of the few that a burst lasts, and a capacity is not well known: one
-/// server's was measured as 11 to 18 a second within four seconds. A factor of 1.2 gained nothing on the users' bench.
-const FASTER: f64 = 1.5;
+/// A key that overwhelms its owner moves only to a server with this many times the capacity. The move
+/// delays the key's requests until the old owner has answered what it had, which takes up to a second of
+/// the few that a burst lasts. Capacities are also known only roughly: that of one server was measured
+/// as 11 to 18 requests a second within four seconds. A factor of 1.2 gained nothing in the users'
+/// benchmark.
+const MIN_SPEEDUP: f64 = 1.5;
 
-/// A candidate by its place among all. A look at some hundred owners compares their loads some hundred times, and looking each one up by its
-/// name took most of the time of the host that grants.
-type At = usize;
+/// Index into the list of candidates. Balancing some hundred owners compares their loads some hundred
+/// times, and looking each one up by its id took most of the leader's processor time.
+type Index = usize;
 
-/// Loads and capacities of the candidates, as they would be after the moves proposed so far.
+/// Loads of the candidates as they would be after the moves proposed so far.
 struct Plan<'a> {
     rates: &'a Rates,
     candidates: &'a [Candidate],
-    /// What is asked of each.
+    /// Decayed request count of each candidate.
     load: Vec<f64>,
-    /// Count that each would have if all had the same share of their capacity.
+    /// Count that each would have if all used the same fraction of their capacity.
     share: Vec<f64>,
-    /// The ranges that each has by the map.
-    held: Vec<Vec<KeyRange>>,
+    /// Ranges that each owns according to the map.
+    ranges: Vec<Vec<KeyRange>>,
 }
 
 impl<'a> Plan<'a> {
@@ -81,81 +87,88 @@
         let total = rates.total();
         let share =
             |c: &Candidate| if capacity > 0.0 { total * c.capacity / capacity } else { 0.0 };
-        let places: BTreeMap<&ServerId, At> =
+        let indexes: BTreeMap<&ServerId, Index> =
             candidates.iter().enumerate().map(|(at, c)| (&c.owner.server, at)).collect();
-        let mut held = vec![Vec::new(); candidates.len()];
-        for of in map.assignments() {
-            let owner = of.owner.as_ref().and_then(|owner| places.get(&owner.server));
+        let mut ranges = vec![Vec::new(); candidates.len()];
+        for assignment in map.assignments() {
+            let owner = assignment.owner.as_ref().and_then(|owner| indexes.get(&owner.server));
             if let Some(at) = owner {
-                held[*at].push(of.range);
+                ranges[*at].push(assignment.range);
             }
         }
         Self {
             rates,
             candidates,
-            load: held
+            load: ranges
                 .iter()
-                .map(|of| of.iter().map(|range| rates.count_in(*range)).sum())
+                .map(|owned| owned.iter().map(|range| rates.count_in(*range)).sum())
                 .collect(),
             share: candidates.iter().map(share).collect(),
-            held,
+            ranges,
         }
     }
 
-    fn surplus(&self, at: At) -> f64 {
+    fn surplus(&self, at: Index) -> f64 {
         self.load[at] - self.share[at]
     }
 
-    /// Count that a candidate can take over.
-    fn room(&self, at: At) -> f64 {
-        self.share[at] * FILLED - self.load[at]
+    /// Count that a candidate can receive.
+    fn headroom(&self, at: Index) -> f64 {
+        self.share[at] * FILL_RATIO - self.load[at]
     }
 
-    /// The candidate that has most room below its share, other than `not`.
-    fn roomiest(&self, not: Option<At>) -> Option<At> {
-        let others = (0..self.candidates.len()).filter(|at| Some(*at) != not);
+    /// The candidate that is furthest below its share, other than `excluded`.
+    fn least_loaded(&self, excluded: Option<Index>) -> Option<Index> {
+        let others = (0..self.candidates.len()).filter(|at| Some(*at) != excluded);
         others.min_by(|a, b| self.surplus(*a).total_cmp(&self.surplus(*b)))
     }
 
-    /// The candidate that is furthest above its share, if that is worth a move.
-    fn busiest(&self, done: &[At]) -> Option<At> {
-        let open = (0..self.candidates.len()).filter(|at| !done.contains(at));
-        let relative = |at: &At| self.load[*at] / self.share[*at].max(f64::EPSILON);
-        let worst = open.max_by(|a, b| relative(a).total_cmp(&relative(b)))?;
+    /// The candidate that exceeds its share by the highest ratio, if that is significant. Skips `stuck`.
+    fn most_overloaded(&self, stuck: &[Index]) -> Option<Index> {
+        let others = (0..self.candidates.len()).filter(|at| !stuck.contains(at));
+        let ratio = |at: &Index| self.load[*at] / self.share[*at].max(f64::EPSILON);
+        let worst = others.max_by(|a, b| ratio(a).total_cmp(&ratio(b)))?;
         let (load, share) = (self.load[worst], self.share[worst]);
-        let certain = load - share > CERTAINTY * share.max(1.0).sqrt();
-        (load > share * SURPLUS && certain).then_some(worst)
+        let is_significant = load - share > MIN_STANDARD_ERRORS * share.max(1.0).sqrt();
+        (load > share * OVERLOAD_RATIO && is_significant).then_some(worst)
     }
 
-    /// Ranges of a candidate that may move.
-    fn free<'b>(&'b self, at: At, taken: &'b [KeyRange]) -> impl Iterator<Item = KeyRange> + 'b {
-        self.held[at].iter().flat_map(|range| subtract(*range, taken))
+    /// What a candidate owns outside the `excluded` ranges.
+    fn movable<'b>(
+        &'b self,
+        at: Index,
+        excluded: &'b [KeyRange],
+    ) -> impl Iterator<Item = KeyRange> + 'b {
+        self.ranges[at].iter().flat_map(|range| subtract(*range, excluded))
     }
 
-    /// A key that alone asks for more than its owner can do, and a server that can do much more of it.
-    fn single(&self, from: At, taken: &[KeyRange]) -> Option<(KeyRange, At)> {
-        let keys = self.free(from, taken).flat_map(|range| self.rates.keys(range));
+    /// The hottest key of a candidate, if its requests alone exceed the candidate's capacity, and the
+    /// fastest warm server that isn't overloaded, if it has [`MIN_SPEEDUP`] times the capacity.
+    fn overwhelming_key(&self, from: Index, excluded: &[KeyRange]) -> Option<(KeyRange, Index)> {
+        let keys = self.movable(from, excluded).flat_map(|range| self.rates.keys(range));
         let (key, count) = keys.max_by(|a, b| a.1.total_cmp(&b.1))?;
-        let capacity = |at: At| self.candidates[at].capacity;
+        let capacity = |at: Index| self.candidates[at].capacity;
         if count <= capacity(from) * DECAY_TIME.as_secs_f64() {
             return None;
         }
-        let has_room = |at: &At| self.load[*at] <= self.share[*at] * SURPLUS;
-        let free = (0..self.load.len()).filter(|at| !self.candidates[*at].cold && has_room(at));
-        let fastest = free.max_by(|a, b| capacity(*a).total_cmp(&capacity(*b)))?;
+        let has_room = |at: &Index| self.load[*at] <= self.share[*at] * OVERLOAD_RATIO;
+        let eligible = (0..self.load.len()).filter(|at| !self.candidates[*at].cold && has_room(at));
+        let fastest = eligible.max_by(|a, b| capacity(*a).total_cmp(&capacity(*b)))?;
         let range = KeyRange { first: key, last: key };
-        (capacity(fastest) >= capacity(from) * FASTER).then_some((range, fastest))
+        (capacity(fastest) >= capacity(from) * MIN_SPEEDUP).then_some((range, fastest))
     }
 
-    /// The narrowest window of a candidate's keys whose count comes up to `wanted` without far exceeding it.
-    fn narrowest(&self, from: At, taken: &[KeyRange], wanted: f64) -> Option<KeyRange> {
+    /// The window of a candidate's keys with the highest [`Window::value`] among those whose count
+    /// doesn't exceed `wanted` by far.
+    fn best_window(&self, from: Index, excluded: &[KeyRange], wanted: f64) -> Option<KeyRange> {
         let windows = self
-            .free(from, taken)
-            .filter_map(|range| window(&self.rates.keys(range).collect::<Vec<_>>(), wanted));
+            .movable(from, excluded)
+            .filter_map(|range| best_window(&self.rates.keys(range).collect::<Vec<_>>(), wanted));
         windows.max_by(|a, b| a.value().total_cmp(&b.value())).map(|window| window.range)
     }
 
-    fn give(&mut self, range: KeyRange, from: Option<At>, to: At) -> Move {
+    /// Accounts for a move of `range`, and returns it.
+    fn assign(&mut self, range: KeyRange, from: Option<Index>, to: Index) -> Move {
         let count = self.rates.count_in(range);
         if let Some(from) = from {
             self.load[from] -= count;
@@ -165,127 +178,141 @@
     }
 }
 
-/// Requests for the busiest owner's keys over the mean of all owners. `None` while nothing is asked.
+/// Ratio of the load of the busiest owner to the mean of all owners. `None` while there is no load.
 pub fn imbalance(map: &Map, rates: &Rates) -> Option<f64> {
     let mut load: BTreeMap<&ServerId, f64> = BTreeMap::new();
-    for held in map.assignments() {
-        let Some(owner) = &held.owner else { continue };
-        *load.entry(&owner.server).or_default() += rates.count_in(held.range);
+    for assignment in map.assignments() {
+        let Some(owner) = &assignment.owner else { continue };
+        *load.entry(&owner.server).or_default() += rates.count_in(assignment.range);
     }
     let total: f64 = load.values().sum();
-    let most = load.values().copied().fold(0.0, f64::max);
-    (total > 0.0).then(|| most * load.len() as f64 / total)
+    let highest = load.values().copied().fold(0.0, f64::max);
+    (total > 0.0).then(|| highest * load.len() as f64 / total)
 }
 
-/// Moves that relieve the busiest owners, at most `most`. `fixed` ranges stay where they are, since they are on their way
-/// already or have just come.
+/// At most `max_moves` moves of keys away from overloaded owners. Keys in the `fixed` ranges don't move,
+/// since they are moving already or have just moved.
 pub fn rebalance(
     map: &Map,
     rates: &Rates,
     candidates: &[Candidate],
     fixed: &[KeyRange],
-    most: usize,
+    max_moves: usize,
 ) -> Vec<Move> {
     let mut plan = Plan::new(map, rates, candidates);
     let mut moves: Vec<Move> = Vec::new();
-    let mut taken = fixed.to_vec();
-    let mut done = Vec::new();
-    while moves.len() < most {
-        let Some(from) = plan.busiest(&done) else { break };
-        let (range, to) = match plan.single(from, &taken) {
-            Some(single) => single,
+    let mut excluded = fixed.to_vec();
+    let mut stuck = Vec::new();
+    while moves.len() < max_moves {
+        let Some(from) = plan.most_overloaded(&stuck) else { break };
+        let (range, to) = match plan.overwhelming_key(from, &excluded) {
+            Some(key_and_server) => key_and_server,
             None => {
-                let Some(to) = plan.roomiest(Some(from)) else { break };
-                let wanted = plan.surplus(from).min(plan.room(to));
-                let window = plan.narrowest(from, &taken, wanted);
-                let Some(range) = window.filter(|_| wanted >= WORTH_MOVING) else {
-                    done.push(from);
+                let Some(to) = plan.least_loaded(Some(from)) else { break };
+                let wanted = plan.surplus(from).min(plan.headroom(to));
+                let window = plan.best_window(from, &excluded, wanted);
+                let Some(range) = window.filter(|_| wanted >= MIN_MOVED_COUNT) else {
+                    stuck.push(from);
                     continue;
                 };
                 (range, to)
             }
         };
-        taken.push(range);
-        moves.push(plan.give(range, Some(from), to));
+        excluded.push(range);
+        moves.push(plan.assign(range, Some(from), to));
     }
     moves
 }
 
-/// New owners for ranges that must leave theirs, each to the candidate with most room at that moment.
+/// New owners for ranges that must leave theirs.
 ///
-/// A range is cut first, by its load and its width: the load of one owner then reaches several others in place of doubling
-/// that of one, however close together its hot keys lie, and the keys of a piece are away only until the piece's own requests
-/// have ended. Ranges that nobody asks for go by their width.
+/// Each range is first split by load and width. The load of one owner is then spread over several others
+/// rather than doubling that of one, however close together its hot keys are, and the keys of a piece are
+/// unavailable only until the requests for this piece have ended. Each piece is assigned to the candidate
+/// that is furthest below its share at that moment; pieces without load are assigned to the one with the
+/// fewest keys for its capacity.
 pub fn place(map: &Map, rates: &Rates, candidates: &[Candidate], ranges: &[KeyRange]) -> Vec<Move> {
     let mut plan = Plan::new(map, rates, candidates);
-    let width = |held: &Vec<KeyRange>| held.iter().map(|range| range.width()).sum();
-    let mut keys: Vec<u32> = plan.held.iter().map(width).collect();
+    let width = |owned: &Vec<KeyRange>| owned.iter().map(|range| range.width()).sum();
+    let mut keys: Vec<u32> = plan.ranges.iter().map(width).collect();
     let mut moves = Vec::new();
-    let most = plan.share.iter().copied().fold(f64::INFINITY, f64::min).max(WORTH_MOVING) * PIECE;
-    let pieces = (PIECES_TIMES_OWNERS / candidates.len().max(1)).clamp(FEWEST_PIECES, MOST_PIECES);
-    for range in ranges.iter().flat_map(|range| cut(rates, *range, most, pieces)) {
-        let unasked = rates.count_in(range) < WORTH_MOVING / 4.0;
-        let to = if unasked {
-            let filled =
-                |at: &At| f64::from(keys[*at]) / candidates[*at].capacity.max(f64::EPSILON);
-            (0..candidates.len()).min_by(|a, b| filled(a).total_cmp(&filled(b)))
+    let max_load = plan.share.iter().copied().fold(f64::INFINITY, f64::min).max(MIN_MOVED_COUNT)
+        * PIECE_LOAD_SHARE;
+    let max_pieces =
+        (PIECES_TIMES_OWNERS / candidates.len().max(1)).clamp(MIN_PIECE_LIMIT, MAX_PIECE_LIMIT);
+    for range in ranges.iter().flat_map(|range| split_by_load(rates, *range, max_load, max_pieces))
+    {
+        let is_idle = rates.count_in(range) < MIN_MOVED_COUNT / 4.0;
+        let to = if is_idle {
+            let relative_width =
+                |at: &Index| f64::from(keys[*at]) / candidates[*at].capacity.max(f64::EPSILON);
+            (0..candidates.len()).min_by(|a, b| relative_width(a).total_cmp(&relative_width(b)))
         } else {
-            plan.roomiest(None)
+            plan.least_loaded(None)
         };
         let Some(to) = to else { break };
         keys[to] += range.width();
-        moves.push(plan.give(range, None, to));
+        moves.push(plan.assign(range, None, to));
     }
     moves
 }
 
-/// Widest range that changes its owner as one: an eighth of what one of twenty owners has.
-const WIDEST_PIECE: u32 = 410;
+/// Number of keys in a piece, unless `max_pieces` requires wider ones: an eighth of what each of twenty
+/// owners has.
+const MAX_PIECE_WIDTH: u32 = 410;
 
-/// Load of a piece, as a part of the smallest owner's share.
-const PIECE: f64 = 0.25;
+/// Maximum load of a piece, as a fraction of the smallest owner's share.
+const PIECE_LOAD_SHARE: f64 = 0.25;
 
-/// Most pieces of one range, since each is a call to two servers.
-const MOST_PIECES: usize = 12;
+/// Upper bound of the limit of pieces for one range, since each piece costs a call to two servers.
+const MAX_PIECE_LIMIT: usize = 12;
 
-/// Pieces of one range times the owners, at the most, but for [`FEWEST_PIECES`]: among many owners three of them take what one leaves. In
-/// more pieces a map of 181 owners came to 1,100 to 2,500 ranges on a day on which half of them were replaced, each a call in every renewal.
+/// The limit of pieces for one range times the number of owners. Among many owners, three are enough to
+/// receive what one leaves. With more pieces, a map of 181 owners grew to 1,100 to 2,500 ranges while
+/// half of the owners were replaced, and each range costs a call in every renewal.
 const PIECES_TIMES_OWNERS: usize = 264;
 
-/// Pieces of one range among however many owners.
-const FEWEST_PIECES: usize = 3;
+/// Lower bound of the limit of pieces for one range.
+const MIN_PIECE_LIMIT: usize = 3;
 
-/// Cuts a range into some `pieces` at the most, of at most `most` load unless one key alone has more, and of about [`WIDEST_PIECE`] keys.
-fn cut(rates: &Rates, range: KeyRange, most: f64, pieces: usize) -> Vec<KeyRange> {
-    let most = most.max(rates.count_in(range) / pieces as f64);
-    let widest = WIDEST_PIECE.max(range.width() / pieces as u32 * 2);
-    let mut cut = Vec::new();
+/// Splits a range into about `max_pieces` pieces at most. The load of a piece is at most `max_load` unless
+/// it is that of a single key, and its width about [`MAX_PIECE_WIDTH`]; both grow if the range would need
+/// too many pieces.
+fn split_by_load(
+    rates: &Rates,
+    range: KeyRange,
+    max_load: f64,
+    max_pieces: usize,
+) -> Vec<KeyRange> {
+    let max_load = max_load.max(rates.count_in(range) / max_pieces as f64);
+    let max_width = MAX_PIECE_WIDTH.max(range.width() / max_pieces as u32 * 2);
+    let mut split = Vec::new();
     let mut first = range.first;
     let mut load = 0.0;
     for (key, count) in rates.keys(range) {
-        if load > 0.0 && load + count > most {
+        if load > 0.0 && load + count > max_load {
             let piece = KeyRange { first, last: Key(key.0 - 1) };
-            cut.extend(piece.split_evenly(piece.width().div_ceil(widest)));
+            split.extend(piece.split_evenly(piece.width().div_ceil(max_width)));
             (first, load) = (key, 0.0);
         }
         load += count;
     }
     let piece = KeyRange { first, last: range.last };
-    cut.extend(piece.split_evenly(piece.width().div_ceil(widest)));
-    cut
+    split.extend(piece.split_evenly(piece.width().div_ceil(max_width)));
+    split
 }
 
-/// What of `range` is in none of `taken`.
-pub(crate) fn subtract(range: KeyRange, taken: &[KeyRange]) -> Vec<KeyRange> {
+/// The parts of `range` that are in none of `excluded`.
+pub(crate) fn subtract(range: KeyRange, excluded: &[KeyRange]) -> Vec<KeyRange> {
     let mut left = vec![range];
-    for taken in taken {
+    for excluded in excluded {
         left = left
             .into_iter()
             .flat_map(|range| {
-                if !range.overlaps(*taken) {
+                if !range.overlaps(*excluded) {
                     return [Some(range), None];
                 }
-                [range.below(*taken), range.above(*taken)]
+                [range.below(*excluded), range.above(*excluded)]
             })
             .flatten()
             .collect();
@@ -293,21 +320,23 @@
     left
 }
 
+/// A run of keys that could move together.
 struct Window {
     range: KeyRange,
     count: f64,
 }
 
 impl Window {
-    /// What the move brings, less what its keys cost: a twentieth of all keys weighs as much as half a request a second.
+    /// Gain of the move less the cost of moving its keys: a twentieth of all keys counts as much as half
+    /// a request a second.
     fn value(&self) -> f64 {
         self.count - f64::from(self.range.width()) / 1640.0
     }
 }
 
-/// The best run of adjacent keys whose count is at most `wanted`, or the lightest single key if each exceeds it by no more
-/// than half.
-fn window(keys: &[(Key, f64)], wanted: f64) -> Option<Window> {
+/// The window with the highest value whose count is at least 1 and at most `wanted`. A window of a single
+/// key may exceed `wanted` by half.
+fn best_window(keys: &[(Key, f64)], wanted: f64) -> Option<Window> {
     let mut best: Option<Window> = None;
     let mut count = 0.0;
     let mut start = 0;
