--- a/crates/jacinthbeam-range/tests/world/calls.rs
+++ b/crates/jacinthbeam-range/tests/world/calls.rs
@@ -1,4 +1,4 @@
-//! Calls of hosts to servers, over connections that end with the life of the server.
+//! Calls of hosts to servers, over connections that end with the server's incarnation.
 
 use std::{
     net::SocketAddr,
@@ -13,22 +13,25 @@
 
 use super::{Message, World};
 
-/// Longest wait for the answer to a grant; after it the connection is reset.
-const GRANT_WITHIN: Duration = Duration::from_millis(600);
+/// Timeout of a grant, after which the connection is reset.
+const GRANT_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// A connection of a host to an address.
-pub struct Line {
-    pub(super) opened: Instant,
-    /// Number of the life that it was opened to.
-    pub(super) life: u32,
+pub struct Connection {
+    pub(super) opened_at: Instant,
+    /// Server incarnation that it was opened to.
+    pub(super) incarnation: u32,
 }
 
-/// Grants to one server, one after the other.
-pub struct Round {
+/// Grants to one server, sent one after the other.
+pub struct GrantRound {
     pub(super) to: Owner,
-    pub(super) calls: Vec<RangeGrant>,
+    pub(super) grants: Vec<RangeGrant>,
+    /// Index of the next grant to send.
     pub(super) next: usize,
-    pub(super) over: Option<Instant>,
+    /// The connection that the grants must be sent over, by the time that it was opened.
+    pub(super) connection: Option<Instant>,
+    /// End of the host's right to grant.
     pub(super) until: Instant,
     pub(super) epoch: Epoch,
     pub(super) last_call: Option<Instant>,
@@ -37,85 +40,98 @@
 }
 
 impl World {
-    /// The open connection to an address. One whose life has ended may not have been noticed yet.
-    fn line(&mut self, n: usize, addr: SocketAddr) -> Option<(Instant, u32)> {
-        let there = self.servers.values().find(|server| server.addr == addr);
-        let there = there.map(|server| (server.id.name().clone(), server.life));
-        let unnoticed = self.rng.bool();
-        if let Some(line) = self.lines.get(&(n, addr)) {
-            let lives = there.as_ref().is_some_and(|(_, life)| *life == line.life);
-            if lives || unnoticed {
-                return Some((line.opened, line.life));
+    /// The open connection to an address, or a new one. A connection to an incarnation that has ended may
+    /// still look open.
+    fn connection(&mut self, n: usize, addr: SocketAddr) -> Option<(Instant, u32)> {
+        let server = self.servers.values().find(|server| server.addr == addr);
+        let server = server.map(|server| (server.id.name().clone(), server.incarnation));
+        let looks_open = self.rng.bool();
+        if let Some(connection) = self.connections.get(&(n, addr)) {
+            let is_open = server
+                .as_ref()
+                .is_some_and(|(_, incarnation)| *incarnation == connection.incarnation);
+            if is_open || looks_open {
+                return Some((connection.opened_at, connection.incarnation));
             }
         }
-        self.lines.remove(&(n, addr));
-        let (_, life) = there.filter(|(name, _)| self.reaches(n, name))?;
-        self.lines.insert((n, addr), Line { opened: self.now, life });
-        Some((self.now, life))
+        self.connections.remove(&(n, addr));
+        let (_, incarnation) = server.filter(|(name, _)| self.reaches(n, name))?;
+        self.connections.insert((n, addr), Connection { opened_at: self.now, incarnation });
+        Some((self.now, incarnation))
     }
 
-    /// Sends the next grant of a round if the right to do so still holds, and the connection is the one that is meant.
-    pub(super) fn on_round(&mut self, n: usize, round: Round) {
-        if round.next == round.calls.len() {
+    /// Sends the next grant of a round if the host may still grant, and if the connection is still the one that
+    /// the round was ordered for.
+    pub(super) fn on_round(&mut self, n: usize, round: GrantRound) {
+        if round.next == round.grants.len() {
             return self.end_round(n, round, Outcome::Answered);
         }
-        let Some((opened, life)) = self.line(n, round.to.addr) else {
-            return self
-                .send(GRANT_WITHIN, Message::Grant { host: n, round, life: 0, arrived: false });
+        let Some((opened, incarnation)) = self.connection(n, round.to.addr) else {
+            return self.send(
+                GRANT_TIMEOUT,
+                Message::Grant { host: n, round, incarnation: 0, arrived: false },
+            );
         };
-        if round.over != Some(opened) {
+        if round.connection != Some(opened) {
             return self.end_round(n, round, Outcome::Opened(opened));
         }
         if self.now >= round.until || self.hosts[n].epoch() != Some(round.epoch) {
             return self.end_round(n, round, Outcome::NotSent);
         }
-        let odds = self.odds.lost_grant;
+        let probability = self.fault_rates.lost_grant;
         let cut = !self.reaches(n, round.to.server.name());
-        let lost = cut || self.chance(odds);
+        let lost = cut || self.chance(probability);
         if lost {
-            // Perhaps it arrives all the same, and only the answer is lost.
+            // The grant may arrive while only its answer is lost.
             let arrived = !cut && self.rng.bool();
             let after =
-                if arrived { Duration::from_millis(self.rng.u64(1..500)) } else { GRANT_WITHIN };
-            return self.send(after, Message::Grant { host: n, round, life, arrived });
+                if arrived { Duration::from_millis(self.rng.u64(1..500)) } else { GRANT_TIMEOUT };
+            return self.send(after, Message::Grant { host: n, round, incarnation, arrived });
         }
-        let after = self.short();
-        self.send(after, Message::Grant { host: n, round, life, arrived: true });
+        let after = self.network_delay();
+        self.send(after, Message::Grant { host: n, round, incarnation, arrived: true });
     }
 
-    pub(super) fn on_grant(&mut self, n: usize, mut round: Round, life: u32, arrived: bool) {
-        let call = round.calls[round.next].clone();
+    pub(super) fn on_grant(
+        &mut self,
+        n: usize,
+        mut round: GrantRound,
+        incarnation: u32,
+        arrived: bool,
+    ) {
+        let grant = round.grants[round.next].clone();
         let (now, addr) = (self.now, round.to.addr);
-        // The process reads its clock when the call has ended; a host that stands still reads it later.
+        // The host reads its clock after the call has ended.
         round.last_call = Some(now + Duration::from_millis(3));
         let server = self.servers.values_mut().find(|server| server.addr == addr);
-        let Some(server) = server.filter(|server| arrived && server.life == life) else {
-            // The connection is reset, and another one is opened the next time.
-            self.lines.remove(&(n, addr));
+        let Some(server) = server.filter(|server| arrived && server.incarnation == incarnation)
+        else {
+            // The connection is reset; the next round opens another one.
+            self.connections.remove(&(n, addr));
             return self.end_round(n, round, Outcome::Silent);
         };
         if server.id.name() != round.to.server.name() {
             return self.end_round(n, round, Outcome::Ended);
         }
-        let refused = self.rng.f64() < self.odds.refuse;
-        match !refused && server.grant(now, call.range, call.token) {
+        let refused = self.rng.f64() < self.fault_rates.stale_token;
+        match !refused && server.grant(now, grant.range, grant.token) {
             true => {
-                round.confirmed.push((call.range, call.token));
-                let RangeGrant { range, token, .. } = &call;
-                if !self.taken.contains(&(*range, *token, life)) {
+                round.confirmed.push((grant.range, grant.token));
+                let RangeGrant { range, token, .. } = &grant;
+                if !self.accepted_grants.contains(&(*range, *token, incarnation)) {
                     let to = &round.to.server;
-                    self.tell(format!("{range} is granted to {to} under token {token}"));
+                    self.trace(format!("{range} is granted to {to} under token {token}"));
                 }
-                self.note_taken(life, call.range, call.token);
+                self.record_accepted_grant(incarnation, grant.range, grant.token);
             }
-            false => round.refused.push(call.range),
+            false => round.refused.push(grant.range),
         }
         round.next += 1;
         self.send(Duration::from_millis(1), Message::Round { host: n, round });
     }
 
-    fn end_round(&mut self, n: usize, round: Round, outcome: Outcome) {
-        let Round { to, last_call, confirmed, refused, .. } = round;
+    fn end_round(&mut self, n: usize, round: GrantRound, outcome: Outcome) {
+        let GrantRound { to, last_call, confirmed, refused, .. } = round;
         self.feed(n, Event::Granted { server: to.server, outcome, last_call, confirmed, refused });
     }
 
@@ -134,7 +150,7 @@
             return self.send(Duration::from_millis(500), answer);
         };
         server.release(now, range, token);
-        self.tell(format!("{range} is taken back from {id} under token {token}"));
+        self.trace(format!("{range} is taken back from {id} under token {token}"));
         let after = Duration::from_millis(self.rng.u64(1..400));
         let handover = Some(format!("from {id}"));
         self.send(after, Message::Released { host: n, range, token, handover, answered });
--- a/crates/jacinthbeam-range/tests/world/host.rs
+++ b/crates/jacinthbeam-range/tests/world/host.rs
@@ -1,4 +1,4 @@
-//! A host that may grant: what the process does around the grantor, without network.
+//! A host that may become the leader: the work of its process around the grantor, without network.
 
 use std::time::{Duration, Instant};
 
@@ -8,24 +8,29 @@
 };
 use jacinthbeam_types::prelude::*;
 
-use super::{Message, World, calls::Round, service};
+use super::{Message, World, calls::GrantRound, service};
 
 pub struct Host {
     grantor: Grantor,
     me: Leader,
+    /// Whether the host has the duty to grant.
     pub duty: bool,
-    told_duty: Option<bool>,
+    /// The duty that the grantor was last informed of.
+    reported_duty: Option<bool>,
+    /// Whether the host can reach the store, apart from a network partition.
     pub has_store: bool,
     pub paused_until: Option<Instant>,
-    /// When it ends, if it was told to stop.
-    ends_at: Option<Instant>,
-    told_stop: bool,
-    /// Records before this offset are known, and the newest of them.
+    /// When the process exits, if it is shutting down.
+    exits_at: Option<Instant>,
+    /// Whether the grantor was informed of the shutdown.
+    shutdown_reported: bool,
+    /// End offset of the records that the host knows.
     end: usize,
+    /// The newest of these records, with its offset.
     newest: Option<(usize, Map)>,
     next_read: Option<Instant>,
     next_load: Option<Instant>,
-    /// Messages that came while the host stood still.
+    /// Messages that arrived while the host was suspended.
     inbox: Vec<Message>,
 }
 
@@ -35,11 +40,11 @@
             grantor: Grantor::new(service, me.clone()),
             me,
             duty: false,
-            told_duty: None,
+            reported_duty: None,
             has_store: true,
             paused_until: None,
-            ends_at: None,
-            told_stop: false,
+            exits_at: None,
+            shutdown_reported: false,
             end: 0,
             newest: None,
             next_read: None,
@@ -48,34 +53,35 @@
         }
     }
 
-    /// The process is told to stop, and ends at `ends_at`.
-    pub fn stops_until(&mut self, ends_at: Instant) {
-        self.ends_at.get_or_insert(ends_at);
+    /// Starts a shutdown. The process exits at `exits_at`, unless an earlier shutdown set another time.
+    pub fn shut_down_by(&mut self, exits_at: Instant) {
+        self.exits_at.get_or_insert(exits_at);
     }
 
     fn is_paused(&self, now: Instant) -> bool {
         self.paused_until.is_some_and(|until| now < until)
     }
 
+    /// The epoch in which the host leads, if it does.
     pub(super) fn epoch(&self) -> Option<Epoch> {
         self.grantor.map().filter(|_| self.grantor.leads()).map(|map| map.epoch)
     }
 }
 
 impl World {
-    /// A host's own work: it reads the store, and time passes for its grantor.
-    pub(super) fn host_step(&mut self, n: usize) {
+    /// Runs one host for one step, unless it is suspended.
+    pub(super) fn step_host(&mut self, n: usize) {
         let now = self.now;
         if self.hosts[n].is_paused(now) {
             return;
         }
         let late = std::mem::take(&mut self.hosts[n].inbox);
         late.into_iter().for_each(|message| self.deliver(message));
-        self.follow(n);
-        self.stop_or_end(n);
-        if self.hosts[n].told_duty != Some(self.hosts[n].duty) && self.hosts[n].has_store {
+        self.poll_store(n);
+        self.shut_down_or_exit(n);
+        if self.hosts[n].reported_duty != Some(self.hosts[n].duty) && self.hosts[n].has_store {
             let duty = self.hosts[n].duty;
-            self.hosts[n].told_duty = Some(duty);
+            self.hosts[n].reported_duty = Some(duty);
             self.feed(n, Event::Duty(duty));
         }
         if self.hosts[n].next_load.is_none_or(|at| now >= at) {
@@ -88,51 +94,57 @@
         self.gossip(n);
     }
 
-    /// A host that was told to stop ends after some time, and another life of it begins.
-    fn stop_or_end(&mut self, n: usize) {
-        let Some(ends_at) = self.hosts[n].ends_at else { return };
-        if !std::mem::replace(&mut self.hosts[n].told_stop, true) {
-            self.tell(format!("h{n} is told to stop"));
+    /// Informs the grantor of a shutdown, and replaces the process by a new incarnation when it exits.
+    fn shut_down_or_exit(&mut self, n: usize) {
+        let Some(exits_at) = self.hosts[n].exits_at else { return };
+        if !std::mem::replace(&mut self.hosts[n].shutdown_reported, true) {
+            self.trace(format!("h{n} shuts down"));
             self.feed(n, Event::ShutdownStarted);
         }
-        if self.now < ends_at {
+        if self.now < exits_at {
             return;
         }
         self.feed(n, Event::Exit);
-        self.tell(format!("h{n} ends"));
-        self.lives += 1;
+        self.trace(format!("h{n} exits"));
+        self.incarnations += 1;
         let me = Leader {
-            incarnation: Incarnation(u64::from(self.lives) + 100),
+            incarnation: Incarnation(u64::from(self.incarnations) + 100),
             ..self.hosts[n].me.clone()
         };
         let (duty, has_store) = (self.hosts[n].duty, self.hosts[n].has_store);
         self.hosts[n] = Host { duty, has_store, ..Host::new(service(), me) };
-        self.lines.retain(|(host, _), _| *host != n);
-        // What was sent may still arrive; answers reach nobody.
+        self.connections.retain(|(host, _), _| *host != n);
+        // Grants that were sent may still arrive, but their answers don't.
         for (_, _, message) in &mut self.queue {
-            if let Message::Grant { host, round, life, arrived: true } = message
+            if let Message::Grant { host, round, incarnation, arrived: true } = message
                 && *host == n
             {
-                let RangeGrant { range, token, .. } = round.calls[round.next].clone();
-                *message = Message::Orphan { to: round.to.addr, life: *life, range, token };
+                let RangeGrant { range, token, .. } = round.grants[round.next].clone();
+                *message = Message::OrphanedGrant {
+                    to: round.to.addr,
+                    incarnation: *incarnation,
+                    range,
+                    token,
+                };
             }
         }
         self.queue.retain(|(_, _, message)| message.host() != Some(n));
     }
 
-    /// Hosts tell each other what they know, at times.
+    /// Sends the newest map to a random host, at random times.
     fn gossip(&mut self, n: usize) {
-        let known = self.hosts[n].newest.clone().map(|(_, map)| map);
-        if let (Some(map), true) = (known, self.rng.f64() < 0.1) {
-            let (to, after) = (self.rng.usize(0..self.hosts.len()), self.short());
-            if self.meet(n, to) {
-                self.send(after, Message::Heard { to, map });
+        let newest = self.hosts[n].newest.clone().map(|(_, map)| map);
+        if let (Some(map), true) = (newest, self.rng.f64() < 0.1) {
+            let (to, after) = (self.rng.usize(0..self.hosts.len()), self.network_delay());
+            if self.can_communicate(n, to) {
+                self.send(after, Message::PeerMap { to, map });
             }
         }
     }
 
-    /// Reads come back some time after the record, before or after the answer to the append that made it.
-    fn follow(&mut self, n: usize) {
+    /// Reads the store at regular intervals. A host may read its own record before it receives the answer to
+    /// the append.
+    fn poll_store(&mut self, n: usize) {
         let (now, has_store) = (self.now, self.has_store(n));
         let host = &mut self.hosts[n];
         if !has_store || host.next_read.is_some_and(|at| now < at) {
@@ -143,11 +155,12 @@
     }
 
     fn send_read(&mut self, n: usize) {
-        let (now, after) = (self.now, self.store_way());
+        let (now, after) = (self.now, self.store_delay());
         let (end, map) = (self.log.len(), self.log.last().cloned());
-        self.send(after, Message::Read { host: n, asked: now, end, map });
+        self.send(after, Message::Read { host: n, sent_at: now, end, map });
     }
 
+    /// Passes an event to the host's grantor and executes the resulting actions.
     pub(super) fn feed(&mut self, n: usize, event: Event) {
         let listed = self.listed();
         let view = View { now: self.now, servers: &listed, servers_stable: true };
@@ -155,33 +168,33 @@
         let actions = self.hosts[n].grantor.step(view, event);
         let leads = self.hosts[n].grantor.leads();
         if led != leads {
-            self.tell(format!("h{n} leads: {leads}"));
+            self.trace(format!("h{n} leads: {leads}"));
         }
         for action in actions {
-            self.carry_out(n, action);
+            self.execute(n, action);
         }
     }
 
-    fn carry_out(&mut self, n: usize, action: Action) {
-        let asked = self.now;
+    fn execute(&mut self, n: usize, action: Action) {
+        let sent_at = self.now;
         match action {
             Action::Record(map) => {
                 let at = self.hosts[n].end;
-                let after = self.store_way();
-                self.tell(format!("h{n} records {}.{} at {at}", map.epoch, map.version));
-                self.send(after, Message::Append { host: n, at, map, asked });
+                let after = self.store_delay();
+                self.trace(format!("h{n} records {}.{} at {at}", map.epoch, map.version));
+                self.send(after, Message::Append { host: n, at, map, sent_at });
             }
             Action::Check if self.has_store(n) => {
-                let (end, after) = (self.log.len(), self.store_way());
-                self.send(after, Message::Checked { host: n, asked, end });
+                let (end, after) = (self.log.len(), self.store_delay());
+                self.send(after, Message::Checked { host: n, sent_at, end });
             }
-            Action::Grant { to, grants: calls, connection: over, until } => {
+            Action::Grant { to, grants, connection, until } => {
                 let epoch = self.hosts[n].epoch().expect("only a host that leads grants");
-                let round = Round {
+                let round = GrantRound {
                     to,
-                    calls,
+                    grants,
                     next: 0,
-                    over,
+                    connection,
                     until,
                     epoch,
                     last_call: None,
@@ -191,9 +204,9 @@
                 self.send(Duration::ZERO, Message::Round { host: n, round });
             }
             Action::Release { from, range, token } => {
-                let after = self.short();
-                let odds = self.odds.lost_release;
-                let (lost, answered) = (self.chance(odds), !self.chance(odds));
+                let after = self.network_delay();
+                let probability = self.fault_rates.lost_release;
+                let (lost, answered) = (self.chance(probability), !self.chance(probability));
                 let server = from.server;
                 if lost || !self.reaches(n, server.name()) {
                     let answer = Message::Released {
@@ -212,18 +225,18 @@
             Action::NotifySuccessor { to, epoch, others_left } => {
                 let leader = self.hosts[n].me.clone();
                 let to = (0..self.hosts.len()).find(|n| self.hosts[*n].me == to);
-                let after = self.store_way();
-                if let Some(to) = to.filter(|to| self.meet(n, *to) && self.rng.bool()) {
-                    self.send(after, Message::Stopped { to, leader, epoch, others_left });
+                let after = self.store_delay();
+                if let Some(to) = to.filter(|to| self.can_communicate(n, *to) && self.rng.bool()) {
+                    self.send(after, Message::PeerStopped { to, leader, epoch, others_left });
                 }
             }
             Action::BroadcastStopped { epoch, others_left } => {
                 let leader = self.hosts[n].me.clone();
                 for to in (0..self.hosts.len()).filter(|to| *to != n) {
-                    let after = self.store_way();
-                    if self.meet(n, to) && self.rng.bool() {
+                    let after = self.store_delay();
+                    if self.can_communicate(n, to) && self.rng.bool() {
                         let leader = leader.clone();
-                        self.send(after, Message::Stopped { to, leader, epoch, others_left });
+                        self.send(after, Message::PeerStopped { to, leader, epoch, others_left });
                     }
                 }
             }
@@ -238,7 +251,7 @@
             | Message::Checked { host, .. }
             | Message::Round { host, .. }
             | Message::Released { host, .. } => Some(*host),
-            Message::Stopped { to, .. } | Message::Heard { to, .. } => Some(*to),
+            Message::PeerStopped { to, .. } | Message::PeerMap { to, .. } => Some(*to),
             _ => None,
         };
         if let Some(host) = to.filter(|host| self.hosts[*host].is_paused(self.now)) {
@@ -246,32 +259,35 @@
             return;
         }
         match message {
-            Message::Append { host, at, map, asked } => {
-                self.on_append(host, at, map, asked);
+            Message::Append { host, at, map, sent_at } => {
+                self.on_append(host, at, map, sent_at);
             }
-            Message::Appended { host, at, map, asked, kept, .. } => {
-                self.on_appended(host, at, map, asked, kept);
+            Message::Appended { host, at, map, sent_at, accepted, .. } => {
+                self.on_appended(host, at, map, sent_at, accepted);
             }
-            Message::Read { host, asked, end, map } => self.on_read(host, asked, end, map),
-            Message::Checked { host, asked, end } => {
+            Message::Read { host, sent_at, end, map } => self.on_read(host, sent_at, end, map),
+            Message::Checked { host, sent_at, end } => {
                 if end == self.hosts[host].end {
                     let map = self.hosts[host].newest.clone().map(|(_, map)| map);
-                    self.feed(host, Event::Read { sent_at: asked, map });
+                    self.feed(host, Event::Read { sent_at, map });
                 }
             }
-            Message::Stopped { to, leader, epoch, others_left } => {
+            Message::PeerStopped { to, leader, epoch, others_left } => {
                 self.feed(to, Event::PeerStopped { leader, epoch, others_left });
             }
-            Message::Heard { to, map } => self.feed(to, Event::PeerMap(map)),
+            Message::PeerMap { to, map } => self.feed(to, Event::PeerMap(map)),
             Message::Round { host, round } => self.on_round(host, round),
-            Message::Grant { host, round, life, arrived } => {
-                self.on_grant(host, round, life, arrived);
+            Message::Grant { host, round, incarnation, arrived } => {
+                self.on_grant(host, round, incarnation, arrived);
             }
-            Message::Orphan { to, life, range, token } => {
+            Message::OrphanedGrant { to, incarnation, range, token } => {
                 let now = self.now;
-                let server = self.servers.values_mut().find(|s| s.addr == to && s.life == life);
+                let server = self
+                    .servers
+                    .values_mut()
+                    .find(|s| s.addr == to && s.incarnation == incarnation);
                 if server.is_some_and(|server| server.grant(now, range, token)) {
-                    self.note_taken(life, range, token);
+                    self.record_accepted_grant(incarnation, range, token);
                 }
             }
             Message::Release { host, server, range, token, answered } => {
@@ -279,35 +295,43 @@
             }
             Message::Released { host, range, token, handover, answered } => {
                 let what = if answered { "has ended there" } else { "gave no answer there" };
-                self.tell(format!("{range} under token {token}: what ran {what}"));
+                self.trace(format!("{range} under token {token}: what ran {what}"));
                 let handover = if answered { Ok(handover) } else { Err(NoAnswer) };
                 self.feed(host, Event::Released { range, token, handover });
             }
         }
     }
 
-    fn on_append(&mut self, host: usize, at: usize, map: Map, asked: Instant) {
+    fn on_append(&mut self, host: usize, at: usize, map: Map, sent_at: Instant) {
         if !self.has_store(host) {
-            // Nothing arrives; the host learns of it by its timeout.
-            let lost = Message::Appended { host, at, map, asked, kept: None };
+            // The append is lost, and the host's timeout expires.
+            let lost = Message::Appended { host, at, map, sent_at, accepted: None };
             return self.send(Duration::from_millis(500), lost);
         }
-        let kept = at == self.log.len();
-        if kept {
+        let accepted = at == self.log.len();
+        if accepted {
             self.log.push(map.clone());
-            // Hosts wait for the next record, so they hear of it at once, perhaps before the answer arrives.
-            let waiting = (0..self.hosts.len()).filter(|n| self.has_store(*n));
-            waiting.collect::<Vec<_>>().into_iter().for_each(|n| self.send_read(n));
+            // Hosts long-poll the store, so they receive the record immediately, possibly before the host that
+            // appended it receives its answer.
+            let polling = (0..self.hosts.len()).filter(|n| self.has_store(*n));
+            polling.collect::<Vec<_>>().into_iter().for_each(|n| self.send_read(n));
         }
-        let late = self.odds.store_late * 0.3;
-        let unanswered = self.chance(late);
-        let after = if unanswered { Duration::from_millis(800) } else { self.store_way() };
-        let kept = if unanswered { None } else { Some(kept) };
-        self.send(after, Message::Appended { host, at, map, asked, kept });
+        let probability = self.fault_rates.slow_store * 0.3;
+        let is_lost = self.chance(probability);
+        let after = if is_lost { Duration::from_millis(800) } else { self.store_delay() };
+        let accepted = if is_lost { None } else { Some(accepted) };
+        self.send(after, Message::Appended { host, at, map, sent_at, accepted });
     }
 
-    fn on_appended(&mut self, n: usize, at: usize, map: Map, asked: Instant, kept: Option<bool>) {
-        if kept != Some(true) {
+    fn on_appended(
+        &mut self,
+        n: usize,
+        at: usize,
+        map: Map,
+        sent_at: Instant,
+        accepted: Option<bool>,
+    ) {
+        if accepted != Some(true) {
             return self.feed(n, Event::NotRecorded);
         }
         let host = &mut self.hosts[n];
@@ -315,17 +339,17 @@
         if host.newest.as_ref().is_none_or(|(offset, _)| *offset < at) {
             host.newest = Some((at, map));
         }
-        self.feed(n, Event::Recorded { sent_at: asked });
+        self.feed(n, Event::Recorded { sent_at });
     }
 
-    fn on_read(&mut self, n: usize, asked: Instant, end: usize, map: Option<Map>) {
+    fn on_read(&mut self, n: usize, sent_at: Instant, end: usize, map: Option<Map>) {
         let host = &mut self.hosts[n];
         host.end = host.end.max(end);
-        let known = host.newest.as_ref().map_or(0, |(offset, _)| offset + 1);
-        if let Some(map) = map.filter(|_| known < end) {
+        let known_end = host.newest.as_ref().map_or(0, |(offset, _)| offset + 1);
+        if let Some(map) = map.filter(|_| known_end < end) {
             host.newest = Some((end - 1, map));
         }
         let map = self.hosts[n].newest.clone().map(|(_, map)| map);
-        self.feed(n, Event::Read { sent_at: asked, map });
+        self.feed(n, Event::Read { sent_at, map });
     }
 }
--- a/crates/jacinthbeam-range/tests/world/mod.rs
+++ b/crates/jacinthbeam-range/tests/world/mod.rs
@@ -1,9 +1,9 @@
-//! A store, hosts and backend servers in one thread, on one clock that only `step` moves.
+//! A simulated store, hosts and backend servers in one thread, on a clock that only `step` advances.
 
 mod calls;
+mod faults;
 mod host;
 mod server;
-mod trouble;
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -18,82 +18,83 @@
 use host::Host;
 use server::Server;
 
-/// How often something goes wrong, in each step or for each message.
+/// Probabilities of faults, for each step or message.
 #[derive(Clone, Copy)]
-pub struct Odds {
-    /// The duty goes to another host.
-    pub deal: f64,
-    /// An answer of the store takes up to a second, or never comes.
-    pub store_late: f64,
-    /// A host loses or regains the store.
+pub struct FaultRates {
+    /// The duty to grant is assigned to another host.
+    pub duty_change: f64,
+    /// A message to or from the store takes up to a second, or an answer never arrives.
+    pub slow_store: f64,
+    /// A host loses or regains its connection to the store.
     pub store_cut: f64,
-    /// A host loses or regains a server.
+    /// A host loses or regains its connection to a server.
     pub server_cut: f64,
-    /// The host that has the duty is left with one server, without the store, and nobody else reaches that server; for up to
-    /// 20 s. The duty goes to another host.
+    /// For up to 20 s, the host that has the duty reaches only one server and not the store, and no other
+    /// host reaches this server. The duty is assigned to another host.
     pub split: f64,
-    /// A host stands still for up to 15 s.
+    /// A host is suspended for up to 15 s.
     pub pause: f64,
-    /// A host is told to stop, ends within six seconds, and starts again.
-    pub stop: f64,
-    /// A server says that it leaves, and ends some seconds later.
+    /// A host shuts down, exits within six seconds, and starts again.
+    pub shutdown: f64,
+    /// A server starts to drain, and ends some seconds later.
     pub drain: f64,
-    /// A server's entry leaves the list, or comes back, while it serves on.
+    /// A server's entry disappears from the list, or comes back, while the server keeps serving.
     pub unlist: f64,
-    /// A server ends; another life of it comes some seconds later.
+    /// A server ends, and another one starts in its place some seconds later.
     pub crash: f64,
-    /// A server starts again under its name. Its entry shows that up to 2.5 s later.
-    pub reborn: f64,
-    /// A grant is lost, or its answer.
+    /// A server restarts under the same name. Its entry shows this up to 2.5 s later.
+    pub restart: f64,
+    /// A grant or its answer is lost.
     pub lost_grant: f64,
-    /// A server has seen a higher token than the map knows of, as after a release whose record was never kept.
-    pub refuse: f64,
-    /// A release is lost, or its answer.
+    /// A server refuses a grant because it has seen a higher token than the map contains, as after a release
+    /// whose record was never stored.
+    pub stale_token: f64,
+    /// A release or its answer is lost.
     pub lost_release: f64,
 }
 
-impl Odds {
-    pub const CALM: Self = Self {
-        deal: 0.0,
-        store_late: 0.0,
+impl FaultRates {
+    pub const NONE: Self = Self {
+        duty_change: 0.0,
+        slow_store: 0.0,
         store_cut: 0.0,
         server_cut: 0.0,
         split: 0.0,
         pause: 0.0,
-        stop: 0.0,
+        shutdown: 0.0,
         drain: 0.0,
         unlist: 0.0,
         crash: 0.0,
-        reborn: 0.0,
+        restart: 0.0,
         lost_grant: 0.0,
-        refuse: 0.0,
+        stale_token: 0.0,
         lost_release: 0.0,
     };
 }
 
-/// Something on its way.
+/// A message in transit, named by its arrival.
 pub enum Message {
     /// An append arrives at the store.
-    Append { host: usize, at: usize, map: Map, asked: Instant },
-    /// Its answer arrives at the host.
-    Appended { host: usize, at: usize, map: Map, asked: Instant, kept: Option<bool> },
-    /// What a host reads of the store.
-    Read { host: usize, asked: Instant, end: usize, map: Option<Map> },
-    /// The answer to a look whether anything is newer.
-    Checked { host: usize, asked: Instant, end: usize },
+    Append { host: usize, at: usize, map: Map, sent_at: Instant },
+    /// The answer to an append arrives at the host: whether it was accepted, or `None` after a timeout.
+    Appended { host: usize, at: usize, map: Map, sent_at: Instant, accepted: Option<bool> },
+    /// The answer to a read of the newest record arrives at the host.
+    Read { host: usize, sent_at: Instant, end: usize, map: Option<Map> },
+    /// The answer to a check for newer records arrives at the host.
+    Checked { host: usize, sent_at: Instant, end: usize },
     /// The next grant of a round may be sent.
-    Round { host: usize, round: calls::Round },
-    /// A host that was replaced says that it has stopped.
-    Stopped { to: usize, leader: Leader, epoch: Epoch, others_left: Duration },
-    /// What another host knows arrives.
-    Heard { to: usize, map: Map },
-    /// A grant arrives.
-    Grant { host: usize, round: calls::Round, life: u32, arrived: bool },
-    /// A grant arrives whose sender has ended.
-    Orphan { to: SocketAddr, life: u32, range: KeyRange, token: Token },
-    /// A release arrives, and is answered if `answered`.
+    Round { host: usize, round: calls::GrantRound },
+    /// A host learns that a former leader has stopped.
+    PeerStopped { to: usize, leader: Leader, epoch: Epoch, others_left: Duration },
+    /// A host receives the newest map of another host.
+    PeerMap { to: usize, map: Map },
+    /// A grant arrives at a server, or its timeout expires if it has not `arrived`.
+    Grant { host: usize, round: calls::GrantRound, incarnation: u32, arrived: bool },
+    /// A grant arrives at a server after its sender has exited.
+    OrphanedGrant { to: SocketAddr, incarnation: u32, range: KeyRange, token: Token },
+    /// A release arrives at a server. Its answer is lost unless `answered`.
     Release { host: usize, server: ServerId, range: KeyRange, token: Token, answered: bool },
-    /// Its answer arrives.
+    /// The answer to a release arrives at the host, or its timeout expires unless `answered`.
     Released {
         host: usize,
         range: KeyRange,
@@ -104,7 +105,7 @@
 }
 
 impl Message {
-    /// The host whose process sent it or waits for it.
+    /// The host that waits for the message. It is dropped when the host's process exits.
     fn host(&self) -> Option<usize> {
         match self {
             Self::Appended { host, .. }
@@ -113,8 +114,8 @@
             | Self::Round { host, .. }
             | Self::Grant { host, .. }
             | Self::Released { host, .. } => Some(*host),
-            Self::Stopped { to, .. } | Self::Heard { to, .. } => Some(*to),
-            Self::Append { .. } | Self::Release { .. } | Self::Orphan { .. } => None,
+            Self::PeerStopped { to, .. } | Self::PeerMap { to, .. } => Some(*to),
+            Self::Append { .. } | Self::Release { .. } | Self::OrphanedGrant { .. } => None,
         }
     }
 }
@@ -122,28 +123,33 @@
 pub struct World {
     pub now: Instant,
     begun: Instant,
-    odds: Odds,
+    fault_rates: FaultRates,
     rng: fastrand::Rng,
+    /// Records of the store.
     log: Vec<Map>,
     hosts: Vec<Host>,
     servers: BTreeMap<ServerName, Server>,
-    /// Connections of hosts to addresses.
-    lines: BTreeMap<(usize, SocketAddr), calls::Line>,
-    /// Grants that were taken, by the number of the life that took them.
-    taken: Vec<(KeyRange, Token, u32)>,
-    /// A key that went to another life without a higher token.
-    low_token: Option<String>,
-    reborn: Vec<(Instant, usize)>,
-    lives: u32,
+    /// Connections of hosts to server addresses.
+    connections: BTreeMap<(usize, SocketAddr), calls::Connection>,
+    /// Accepted grants, with the server incarnation that accepted each.
+    accepted_grants: Vec<(KeyRange, Token, u32)>,
+    /// The first grant of a key to another incarnation without a higher token.
+    token_violation: Option<String>,
+    /// Times and indexes of servers that will start.
+    pending_starts: Vec<(Instant, usize)>,
+    /// Number of incarnations of servers and restarted hosts so far.
+    incarnations: u32,
+    /// Hosts and servers that can't reach each other.
     cut_servers: BTreeSet<(usize, ServerName)>,
     unlisted: BTreeSet<ServerName>,
     split: Option<Split>,
+    /// Messages in transit, by arrival time and number.
     queue: Vec<(Instant, u64, Message)>,
     sent: u64,
-    story: Vec<String>,
+    trace: Vec<String>,
 }
 
-/// One host and one server on one side, the store and all others on the other.
+/// A network partition: one host and one server on one side, the store and all others on the other.
 struct Split {
     host: usize,
     server: ServerName,
@@ -158,7 +164,7 @@
 }
 
 impl World {
-    pub fn new(odds: Odds, seed: u64) -> Self {
+    pub fn new(fault_rates: FaultRates, seed: u64) -> Self {
         let now = Instant::now();
         let leader = |n: usize| Leader {
             host: format!("h{n}").parse().unwrap(),
@@ -168,42 +174,42 @@
         let mut world = Self {
             now,
             begun: now,
-            odds,
+            fault_rates,
             rng: fastrand::Rng::with_seed(seed),
             log: Vec::new(),
             hosts: (0..HOSTS).map(|n| Host::new(service(), leader(n))).collect(),
             servers: BTreeMap::new(),
-            lines: BTreeMap::new(),
-            taken: Vec::new(),
-            low_token: None,
-            reborn: Vec::new(),
-            lives: 0,
+            connections: BTreeMap::new(),
+            accepted_grants: Vec::new(),
+            token_violation: None,
+            pending_starts: Vec::new(),
+            incarnations: 0,
             cut_servers: BTreeSet::new(),
             unlisted: BTreeSet::new(),
             split: None,
             queue: Vec::new(),
             sent: 0,
-            story: vec![format!("seed {seed}")],
+            trace: vec![format!("seed {seed}")],
         };
-        (0..SERVERS).for_each(|place| world.bear(place));
-        world.deal(0);
+        (0..SERVERS).for_each(|index| world.start_server(index));
+        world.assign_duty(0);
         world
     }
 
-    fn bear(&mut self, place: usize) {
-        self.lives += 1;
-        let name: ServerName = format!("s{place}-{}", self.lives).parse().unwrap();
+    fn start_server(&mut self, index: usize) {
+        self.incarnations += 1;
+        let name: ServerName = format!("s{index}-{}", self.incarnations).parse().unwrap();
         let id = name.clone().into();
-        self.servers.insert(name, Server::new(id, self.lives, place));
+        self.servers.insert(name, Server::new(id, self.incarnations, index));
     }
 
-    fn chance(&mut self, odds: f64) -> bool {
-        self.rng.f64() < odds
+    fn chance(&mut self, probability: f64) -> bool {
+        self.rng.f64() < probability
     }
 
-    fn tell(&mut self, text: String) {
+    fn trace(&mut self, text: String) {
         let at = (self.now - self.begun).as_secs_f64();
-        self.story.push(format!("{at:8.3} {text}"));
+        self.trace.push(format!("{at:8.3} {text}"));
     }
 
     fn send(&mut self, after: Duration, message: Message) {
@@ -211,25 +217,26 @@
         self.queue.push((self.now + after, self.sent, message));
     }
 
-    /// A short way, as between hosts and servers.
-    fn short(&mut self) -> Duration {
+    /// Random delay of a message between hosts and servers.
+    fn network_delay(&mut self) -> Duration {
         Duration::from_millis(self.rng.u64(1..4))
     }
 
-    /// The way to the store or back: mostly short, at times up to a second.
-    fn store_way(&mut self) -> Duration {
-        let late = self.odds.store_late;
-        if self.chance(late) {
+    /// Random delay of a message to or from the store: usually short, sometimes up to a second.
+    fn store_delay(&mut self) -> Duration {
+        let probability = self.fault_rates.slow_store;
+        if self.chance(probability) {
             return Duration::from_millis(self.rng.u64(1..1000));
         }
-        self.short()
+        self.network_delay()
     }
 
+    /// The list of servers that the hosts have.
     fn listed(&self) -> Servers {
         let mut listed = Servers::default();
         for server in self.servers.values().filter(|s| !self.unlisted.contains(s.id.name())) {
             listed.insert(Listed {
-                id: server.listed.clone(),
+                id: server.listed_id.clone(),
                 service: service(),
                 addr: server.addr,
                 domain: "d".parse().unwrap(),
@@ -242,17 +249,17 @@
         listed
     }
 
-    fn deal(&mut self, to: usize) {
+    fn assign_duty(&mut self, to: usize) {
         for n in 0..HOSTS {
             self.hosts[n].duty = n == to;
         }
-        self.tell(format!("duty to h{to}"));
+        self.trace(format!("duty to h{to}"));
     }
 
-    /// One step of time: troubles, messages, then every host's own work.
+    /// Advances the clock by one step: injects faults, delivers messages, then runs every host.
     pub fn step(&mut self, by: Duration) {
         let end = self.now + by;
-        self.trouble();
+        self.inject_faults();
         loop {
             let next = (0..self.queue.len()).min_by_key(|n| (self.queue[*n].0, self.queue[*n].1));
             let Some(next) = next.filter(|n| self.queue[*n].0 <= end) else { break };
@@ -262,29 +269,29 @@
         }
         self.now = end;
         for n in 0..HOSTS {
-            self.host_step(n);
+            self.step_host(n);
         }
     }
 
-    /// Whether a host reaches the store.
+    /// Whether a host can reach the store.
     fn has_store(&self, n: usize) -> bool {
         let split = self.split.as_ref().is_some_and(|split| split.host == n);
         self.hosts[n].has_store && !split
     }
 
-    /// Whether a host reaches a server.
+    /// Whether a host can reach a server.
     fn reaches(&self, n: usize, name: &ServerName) -> bool {
         let split = self.split.as_ref();
         let split = split.is_some_and(|split| (split.host == n) != (split.server == *name));
         !split && !self.cut_servers.contains(&(n, name.clone()))
     }
 
-    /// Whether two hosts reach each other.
-    fn meet(&self, a: usize, b: usize) -> bool {
+    /// Whether two hosts can reach each other.
+    fn can_communicate(&self, a: usize, b: usize) -> bool {
         self.split.as_ref().is_none_or(|split| (split.host == a) == (split.host == b))
     }
 
-    /// A few hot keys side by side, which move on every four seconds.
+    /// A load report with a hundred adjacent hot keys, others every four seconds.
     fn load(&mut self) -> LoadReport {
         let mut report = LoadReport::default();
         let hot = (self.now - self.begun).as_secs() / 4 * 13_000;
@@ -298,27 +305,30 @@
         report
     }
 
-    /// Notes a grant that a server has taken. Each key must go from one life to the next under a higher token.
-    fn note_taken(&mut self, life: u32, range: KeyRange, token: Token) {
+    /// Records a grant that a server has accepted. Each key must pass from one incarnation to the next under
+    /// a higher token.
+    fn record_accepted_grant(&mut self, incarnation: u32, range: KeyRange, token: Token) {
         let other = self
-            .taken
+            .accepted_grants
             .iter()
-            .find(|(of, before, by)| *by != life && *before >= token && of.overlaps(range));
+            .find(|(of, before, by)| *by != incarnation && *before >= token && of.overlaps(range));
         if let Some((of, before, by)) = other {
-            let text = format!("life {life} took {range} ({token}), life {by} had {of} ({before})");
-            self.low_token.get_or_insert(text);
+            let text = format!(
+                "incarnation {incarnation} accepted {range} ({token}), incarnation {by} had {of} ({before})"
+            );
+            self.token_violation.get_or_insert(text);
         }
-        self.taken.retain(|(of, _, by)| *by != life || *of != range);
-        self.taken.push((range, token, life));
-        if self.taken.len() > 2000 {
-            self.taken.drain(..500);
+        self.accepted_grants.retain(|(of, _, by)| *by != incarnation || *of != range);
+        self.accepted_grants.push((range, token, incarnation));
+        if self.accepted_grants.len() > 2000 {
+            self.accepted_grants.drain(..500);
         }
     }
 
-    /// Two servers that hold the same key, or two lives that had it under one token, if there are any.
-    pub fn clash(&self) -> Option<String> {
-        if self.low_token.is_some() {
-            return self.low_token.clone();
+    /// Two servers that hold the same key, or two incarnations that had a key without a rising token, if any.
+    pub fn violation(&self) -> Option<String> {
+        if self.token_violation.is_some() {
+            return self.token_violation.clone();
         }
         let servers: Vec<&Server> = self.servers.values().collect();
         for (n, one) in servers.iter().enumerate() {
@@ -338,8 +348,8 @@
         None
     }
 
-    /// Keys that no server holds.
-    pub fn unowned(&self) -> Vec<KeyRange> {
+    /// Ranges that no server holds.
+    pub fn unowned_ranges(&self) -> Vec<KeyRange> {
         let held = self.servers.values().flat_map(|server| server.holds(self.now));
         let mut held: Vec<KeyRange> = held.map(|(range, _)| range).collect();
         held.sort_unstable_by_key(|range| range.first);
@@ -358,20 +368,20 @@
         unowned
     }
 
-    /// Records that were kept.
-    pub fn records(&self) -> usize {
+    /// Number of records in the store.
+    pub fn record_count(&self) -> usize {
         self.log.len()
     }
 
-    /// What happened to this range, but for its renewals.
-    pub fn told_of(&self, range: KeyRange) -> Vec<String> {
+    /// Trace lines that name this range. Renewals aren't traced.
+    pub fn trace_of(&self, range: KeyRange) -> Vec<String> {
         let text = range.to_string();
-        self.story.iter().filter(|line| line.contains(&text)).cloned().collect()
+        self.trace.iter().filter(|line| line.contains(&text)).cloned().collect()
     }
 
-    /// What happened last.
-    pub fn story(&self) -> String {
-        let from = self.story.len().saturating_sub(120);
-        format!("{}\n{}", self.story[0], self.story[from..].join("\n"))
+    /// The seed and the last trace lines.
+    pub fn recent_trace(&self) -> String {
+        let from = self.trace.len().saturating_sub(120);
+        format!("{}\n{}", self.trace[0], self.trace[from..].join("\n"))
     }
 }
--- a/crates/jacinthbeam-range/tests/world/server.rs
+++ b/crates/jacinthbeam-range/tests/world/server.rs
@@ -1,4 +1,4 @@
-//! A backend server, as far as its grants go.
+//! A backend server that keeps the rules of grants: holds that expire, and fencing tokens.
 
 use std::{
     net::SocketAddr,
@@ -10,31 +10,32 @@
 
 pub struct Server {
     pub id: ServerId,
-    /// The life that its entry shows.
-    pub listed: ServerId,
-    /// When the entry shows the present one.
+    /// The id in its entry, which is that of a former incarnation for a while after a restart.
+    pub listed_id: ServerId,
+    /// When the entry will show the restart.
     pub noticed_at: Option<Instant>,
-    /// Number of the life, of all in the world.
-    pub life: u32,
-    pub place: usize,
+    /// Number of the incarnation, unique in the world.
+    pub incarnation: u32,
+    /// Position among the servers, which determines its address.
+    pub index: usize,
     pub addr: SocketAddr,
-    /// When it ends, if it has said so.
+    /// When it ends, if it is draining.
     pub leaves_at: Option<Instant>,
-    /// Ranges, their tokens and the ends of their holds on this server's slow clock.
+    /// Ranges with their tokens and the ends of their holds by this server's clock, which runs slow.
     held: Vec<(KeyRange, Token, Instant)>,
-    /// Highest tokens seen.
+    /// Tokens seen, the latest last.
     seen: Vec<(KeyRange, Token)>,
 }
 
 impl Server {
-    pub fn new(id: ServerId, life: u32, place: usize) -> Self {
-        let addr = format!("127.0.0.1:{}", 1000 + place).parse().unwrap();
+    pub fn new(id: ServerId, incarnation: u32, index: usize) -> Self {
+        let addr = format!("127.0.0.1:{}", 1000 + index).parse().unwrap();
         Self {
-            listed: id.clone(),
+            listed_id: id.clone(),
             id,
             noticed_at: None,
-            life,
-            place,
+            incarnation,
+            index,
             addr,
             leaves_at: None,
             held: Vec::new(),
@@ -42,38 +43,38 @@
         }
     }
 
-    /// Starts again under its name, and has forgotten everything. Its entry shows that from `noticed_at` on.
-    pub fn start_again(&mut self, life: u32, noticed_at: Instant) {
-        self.id = ServerId::new(self.id.name().clone(), Some(Born(u64::from(life))));
-        self.life = life;
+    /// Restarts under the same name, without any of its state. Its entry shows this from `noticed_at` on.
+    pub fn restart(&mut self, incarnation: u32, noticed_at: Instant) {
+        self.id = ServerId::new(self.id.name().clone(), Some(Born(u64::from(incarnation))));
+        self.incarnation = incarnation;
         self.noticed_at = Some(noticed_at);
         self.held.clear();
         self.seen.clear();
     }
 
-    fn has_seen_above(&self, range: KeyRange, token: Token) -> bool {
-        self.seen.iter().any(|(seen, of)| seen.overlaps(range) && *of > token)
+    fn has_seen_higher_token(&self, range: KeyRange, token: Token) -> bool {
+        self.seen.iter().any(|(seen, seen_token)| seen.overlaps(range) && *seen_token > token)
     }
 
-    /// Takes a grant. Returns whether it holds the keys now.
+    /// Handles a grant. Returns whether it is accepted; a token below one seen for any of the keys is refused.
     pub fn grant(&mut self, now: Instant, range: KeyRange, token: Token) -> bool {
-        if self.has_seen_above(range, token) {
+        if self.has_seen_higher_token(range, token) {
             return false;
         }
         self.seen.push((range, token));
-        self.drop_held(range);
+        self.remove_from_held(range);
         self.held.push((range, token, now + HOLD.mul_f64(1.02)));
-        self.forget(now);
+        self.prune(now);
         true
     }
 
     pub fn release(&mut self, now: Instant, range: KeyRange, token: Token) {
         self.seen.push((range, token));
-        self.drop_held(range);
-        self.forget(now);
+        self.remove_from_held(range);
+        self.prune(now);
     }
 
-    fn drop_held(&mut self, range: KeyRange) {
+    fn remove_from_held(&mut self, range: KeyRange) {
         self.held = self
             .held
             .drain(..)
@@ -87,14 +88,15 @@
             .collect();
     }
 
-    fn forget(&mut self, now: Instant) {
+    fn prune(&mut self, now: Instant) {
         self.held.retain(|(_, _, until)| *until > now - Duration::from_secs(1));
-        // Only the highest token counts; without this the list would grow for ever.
+        // Keeps the list bounded. Only the highest token for a key counts, and tokens rise.
         if self.seen.len() > 400 {
             self.seen.drain(..100);
         }
     }
 
+    /// Ranges whose holds haven't expired.
     pub fn holds(&self, now: Instant) -> impl Iterator<Item = (KeyRange, Token)> + '_ {
         let held = self.held.iter().filter(move |(_, _, until)| *until > now);
         held.map(|(range, token, _)| (*range, *token))
