--- a/crates/jacinthbeam-range/tests/sole_owner.rs
+++ b/crates/jacinthbeam-range/tests/sole_owner.rs
@@ -128,8 +128,8 @@
 }
 
 /// Guards against reassigning the keys of an unreachable server too early. A network partition leaves the
-/// leader with one server and without the store. It keeps renewing that server's keys until its proof of
-/// leadership expires; only then may the other hosts assign them to other servers.
+/// leader with one server and without the store. It keeps renewing that server's keys until the
+/// store's last confirmation of its leadership expires; only then may other hosts reassign the keys.
 #[test]
 fn partitioned_leader_keeps_ownership_exclusive() {
     let rates = FaultRates {
