--- a/crates/jacinthbeam-crash/src/cases.rs
+++ b/crates/jacinthbeam-crash/src/cases.rs
@@ -29,11 +29,11 @@
 pub const MAX_CASES: usize = 1024;
 
 /// Facts that are kept of one request; more of them would change nothing.
-const MOST_OF_ONE: usize = 16;
+const MAX_FACTS_PER_REQUEST: usize = 16;
 
 /// Successes of one caller count as the same within this time. A fact bears its age, so that each hop makes it seem later by the time that
 /// it was on its way.
-const SAME_WITHIN: Duration = Duration::from_secs(1);
+const SUCCESS_DEDUP_WINDOW: Duration = Duration::from_secs(1);
 
 /// How many facts a host has come to know before another.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -110,7 +110,7 @@
 }
 
 #[derive(Debug, Clone)]
-struct Noted {
+struct Entry {
     at: Instant,
     position: LogPosition,
     source: Source,
@@ -118,23 +118,23 @@
 
 #[derive(Debug, Default)]
 struct Case {
-    crashes: BTreeMap<(ServerId, IpAddr), Noted>,
+    crashes: BTreeMap<(ServerId, IpAddr), Entry>,
     /// Crashes that were cleared. The life of a server ends once, so none of them is another one.
     voided: BTreeSet<(ServerId, IpAddr)>,
     /// Since when what a caller's attempts had shown no longer counts; `None` stands for all callers.
-    cleared: BTreeMap<Option<IpAddr>, Noted>,
+    cleared: BTreeMap<Option<IpAddr>, Entry>,
 }
 
 impl Case {
     fn suspect(&self) -> Option<Suspect> {
-        let times = self.crashes.values().map(|noted| noted.at);
+        let times = self.crashes.values().map(|entry| entry.at);
         Some(Suspect {
             callers: self.crashes.keys().map(|(_, caller)| *caller).collect(),
             servers: self.crashes.keys().map(|(server, _)| server.clone()).collect(),
             first_crash: times.clone().min()?,
             last_crash: times.max()?,
             attempts: self.crashes.len(),
-            last_cleared: self.cleared.values().map(|noted| noted.at).max(),
+            last_cleared: self.cleared.values().map(|entry| entry.at).max(),
         })
     }
 
@@ -147,21 +147,21 @@
     }
 
     fn last(&self) -> Option<Instant> {
-        self.crashes.values().chain(self.cleared.values()).map(|noted| noted.at).max()
+        self.crashes.values().chain(self.cleared.values()).map(|entry| entry.at).max()
     }
 
-    fn is_over(&self, now: Instant) -> bool {
-        let is_refused = self.suspect().is_some_and(|suspect| suspect.is_quarantined());
-        let kept = if is_refused { QUARANTINE_TTL } else { SUSPICION_TTL };
-        self.last().is_none_or(|last| now.saturating_duration_since(last) >= kept)
+    fn is_expired(&self, now: Instant) -> bool {
+        let is_quarantined = self.suspect().is_some_and(|suspect| suspect.is_quarantined());
+        let ttl = if is_quarantined { QUARANTINE_TTL } else { SUSPICION_TTL };
+        self.last().is_none_or(|last| now.saturating_duration_since(last) >= ttl)
     }
 
-    fn notes(&self) -> impl Iterator<Item = (Outcome, &Noted)> {
-        let crashed = self.crashes.iter().map(|((server, caller), noted)| {
-            (Outcome::Crashed { server: server.clone(), caller: *caller }, noted)
+    fn facts(&self) -> impl Iterator<Item = (Outcome, &Entry)> {
+        let crashed = self.crashes.iter().map(|((server, caller), entry)| {
+            (Outcome::Crashed { server: server.clone(), caller: *caller }, entry)
         });
-        let cleared = self.cleared.iter().map(|(of, noted)| {
-            (of.map_or(Outcome::Allowed, |caller| Outcome::Succeeded { caller }), noted)
+        let cleared = self.cleared.iter().map(|(scope, entry)| {
+            (scope.map_or(Outcome::Allowed, |caller| Outcome::Succeeded { caller }), entry)
         });
         crashed.chain(cleared)
     }
@@ -170,7 +170,7 @@
 /// All facts that one host keeps.
 #[derive(Debug, Default)]
 pub struct Cases {
-    of: BTreeMap<Fingerprint, Case>,
+    by_request: BTreeMap<Fingerprint, Case>,
     end: LogPosition,
 }
 
@@ -201,47 +201,48 @@
                 changed.insert(request);
             }
         }
-        changed.retain(|request| !self.drop_if_over(request, now));
-        self.make_room();
+        changed.retain(|request| !self.remove_if_expired(request, now));
+        self.evict_excess();
         !changed.is_empty()
     }
 
-    fn drop_if_over(&mut self, request: &Fingerprint, now: Instant) -> bool {
-        let is_over = self.of.get(request).is_none_or(|case| case.is_over(now));
-        if is_over {
-            self.of.remove(request);
+    fn remove_if_expired(&mut self, request: &Fingerprint, now: Instant) -> bool {
+        let is_expired = self.by_request.get(request).is_none_or(|case| case.is_expired(now));
+        if is_expired {
+            self.by_request.remove(request);
         }
-        is_over
+        is_expired
     }
 
     fn add(&mut self, fact: Fact, source: Source) -> bool {
-        let case = self.of.entry(fact.request).or_default();
-        let noted = Noted { at: fact.at, position: self.end, source };
-        let adds = match fact.outcome {
-            Outcome::Crashed { server, caller } => case.add_crash(server, caller, noted),
-            Outcome::Succeeded { caller } => case.clear(Some(caller), noted),
-            Outcome::Allowed => case.clear(None, noted),
+        let case = self.by_request.entry(fact.request).or_default();
+        let entry = Entry { at: fact.at, position: self.end, source };
+        let is_new = match fact.outcome {
+            Outcome::Crashed { server, caller } => case.add_crash(server, caller, entry),
+            Outcome::Succeeded { caller } => case.clear(Some(caller), entry),
+            Outcome::Allowed => case.clear(None, entry),
         };
         if case.is_empty() {
-            self.of.remove(&fact.request);
+            self.by_request.remove(&fact.request);
         }
-        self.end.0 += u64::from(adds);
-        adds
+        self.end.0 += u64::from(is_new);
+        is_new
     }
 
-    fn make_room(&mut self) {
-        while self.of.len() > MAX_CASES {
-            let least = self.of.iter().min_by_key(|(_, case)| (case.servers(), case.last()));
+    fn evict_excess(&mut self) {
+        while self.by_request.len() > MAX_CASES {
+            let least =
+                self.by_request.iter().min_by_key(|(_, case)| (case.servers(), case.last()));
             let Some(least) = least.map(|(request, _)| *request) else { return };
-            self.of.remove(&least);
+            self.by_request.remove(&least);
         }
     }
 
     /// Forgets what has stood for long enough. Returns whether there was any.
     pub fn expire(&mut self, now: Instant) -> bool {
-        let before = self.of.len();
-        self.of.retain(|_, case| !case.is_over(now));
-        self.of.len() != before
+        let before = self.by_request.len();
+        self.by_request.retain(|_, case| !case.is_expired(now));
+        self.by_request.len() != before
     }
 
     /// What came to be known at `from` or later and was not told by the host `to`: so many facts at the most, in their order, and the
@@ -250,101 +251,102 @@
         &self,
         from: LogPosition,
         to: Option<&HostId>,
-        most: usize,
+        limit: usize,
     ) -> (Vec<Fact>, LogPosition) {
         if from >= self.end {
             return (Vec::new(), self.end);
         }
         let mut newer = BTreeMap::new();
-        for (request, case) in &self.of {
-            let new = case.notes().filter(|(_, noted)| {
-                let told_by = match &noted.source {
+        for (request, case) in &self.by_request {
+            let new = case.facts().filter(|(_, entry)| {
+                let sender = match &entry.source {
                     Source::Peer(host) => Some(host),
                     Source::Observed | Source::Store => None,
                 };
-                noted.position >= from && (to.is_none() || told_by != to)
+                entry.position >= from && (to.is_none() || sender != to)
             });
-            newer.extend(new.map(|(outcome, noted)| {
-                (noted.position, Fact { request: *request, outcome, at: noted.at })
+            newer.extend(new.map(|(outcome, entry)| {
+                (entry.position, Fact { request: *request, outcome, at: entry.at })
             }));
         }
-        let end = newer.keys().nth(most).copied().unwrap_or(self.end);
-        (newer.into_values().take(most).collect(), end)
+        let end = newer.keys().nth(limit).copied().unwrap_or(self.end);
+        (newer.into_values().take(limit).collect(), end)
     }
 
     /// Servers, by their lives, that crashed under a request since it was last cleared.
     pub fn servers(&self, request: &Fingerprint) -> usize {
-        self.of.get(request).map_or(0, Case::servers)
+        self.by_request.get(request).map_or(0, Case::servers)
     }
 
     /// Facts of the requests under which most servers crashed, then of the latest: so many at the most.
-    pub fn strongest_facts(&self, most: usize) -> Vec<Fact> {
-        let mut cases: Vec<(&Fingerprint, &Case)> = self.of.iter().collect();
+    pub fn strongest_facts(&self, limit: usize) -> Vec<Fact> {
+        let mut cases: Vec<(&Fingerprint, &Case)> = self.by_request.iter().collect();
         cases.sort_by_cached_key(|(_, case)| Reverse((case.servers(), case.last())));
         let facts = cases.into_iter().flat_map(|(request, case)| {
-            case.notes().map(|(outcome, noted)| Fact { request: *request, outcome, at: noted.at })
+            case.facts().map(|(outcome, entry)| Fact { request: *request, outcome, at: entry.at })
         });
-        facts.take(most).collect()
+        facts.take(limit).collect()
     }
 
     /// The requests that are in doubt or refused.
     pub fn suspects(&self) -> Suspects {
-        let of = self.of.iter().filter_map(|(request, case)| Some((*request, case.suspect()?)));
-        Suspects { of: of.collect() }
+        let by_request =
+            self.by_request.iter().filter_map(|(request, case)| Some((*request, case.suspect()?)));
+        Suspects { by_request: by_request.collect() }
     }
 }
 
 impl Case {
-    fn add_crash(&mut self, server: ServerId, caller: IpAddr, noted: Noted) -> bool {
+    fn add_crash(&mut self, server: ServerId, caller: IpAddr, entry: Entry) -> bool {
         let crash = (server, caller);
         let is_known = self.crashes.contains_key(&crash) || self.voided.contains(&crash);
-        if self.is_void(caller, noted.at) || is_known {
+        if self.is_cleared(caller, entry.at) || is_known {
             return false;
         }
-        if self.crashes.len() >= MOST_OF_ONE && !self.drop_last_before(noted.at) {
+        if self.crashes.len() >= MAX_FACTS_PER_REQUEST && !self.evict_last_before(entry.at) {
             return false;
         }
-        self.crashes.insert(crash, noted);
+        self.crashes.insert(crash, entry);
         true
     }
 
     /// Makes room for a crash at `at`, if that is the last one: the first and the last are what counts. Returns whether it is.
-    fn drop_last_before(&mut self, at: Instant) -> bool {
-        let last = self.crashes.iter().max_by_key(|(_, noted)| noted.at);
-        let last = last.filter(|(_, noted)| noted.at < at).map(|(of, _)| of.clone());
+    fn evict_last_before(&mut self, at: Instant) -> bool {
+        let last = self.crashes.iter().max_by_key(|(_, entry)| entry.at);
+        let last = last.filter(|(_, entry)| entry.at < at).map(|(crash, _)| crash.clone());
         last.is_some_and(|last| self.crashes.remove(&last).is_some())
     }
 
     /// Whether what this caller's attempts had shown at a moment no longer counts.
-    fn is_void(&self, caller: IpAddr, at: Instant) -> bool {
-        let cleared = [None, Some(caller)].into_iter().filter_map(|of| self.cleared.get(&of));
+    fn is_cleared(&self, caller: IpAddr, at: Instant) -> bool {
+        let cleared = [None, Some(caller)].into_iter().filter_map(|scope| self.cleared.get(&scope));
         cleared.into_iter().any(|cleared| at <= cleared.at)
     }
 
-    fn clear(&mut self, of: Option<IpAddr>, noted: Noted) -> bool {
-        let known = self.cleared.get(&of).map(|cleared| cleared.at);
-        let is_full = self.cleared.len() >= MOST_OF_ONE && known.is_none();
+    fn clear(&mut self, scope: Option<IpAddr>, entry: Entry) -> bool {
+        let known = self.cleared.get(&scope).map(|cleared| cleared.at);
+        let is_full = self.cleared.len() >= MAX_FACTS_PER_REQUEST && known.is_none();
         // What an operator says always has room.
-        if known.is_some_and(|at| noted.at <= at) || (is_full && of.is_some()) {
+        if known.is_some_and(|at| entry.at <= at) || (is_full && scope.is_some()) {
             return false;
         }
-        let clears = self.void_crashes(of, noted.at);
-        if !clears && known.is_some_and(|at| noted.at < at + SAME_WITHIN) {
+        let clears = self.void_crashes(scope, entry.at);
+        if !clears && known.is_some_and(|at| entry.at < at + SUCCESS_DEDUP_WINDOW) {
             return false;
         }
-        self.cleared.insert(of, noted);
+        self.cleared.insert(scope, entry);
         true
     }
 
     /// Takes away the crashes up to `at` under attempts of a caller, or of all. Returns whether there were any.
-    fn void_crashes(&mut self, of: Option<IpAddr>, at: Instant) -> bool {
-        let is_void = |(_, caller): &(ServerId, IpAddr), crash: &mut Noted| {
-            crash.at <= at && of.is_none_or(|of| of == *caller)
+    fn void_crashes(&mut self, scope: Option<IpAddr>, at: Instant) -> bool {
+        let applies = |(_, caller): &(ServerId, IpAddr), crash: &mut Entry| {
+            crash.at <= at && scope.is_none_or(|scope| scope == *caller)
         };
-        let voided: Vec<_> = self.crashes.extract_if(.., is_void).map(|(crash, _)| crash).collect();
+        let voided: Vec<_> = self.crashes.extract_if(.., applies).map(|(crash, _)| crash).collect();
         let clears = !voided.is_empty();
         self.voided.extend(voided);
-        while self.voided.len() > MOST_OF_ONE {
+        while self.voided.len() > MAX_FACTS_PER_REQUEST {
             self.voided.pop_first();
         }
         clears
--- a/crates/jacinthbeam-crash/src/evidence.rs
+++ b/crates/jacinthbeam-crash/src/evidence.rs
@@ -24,7 +24,7 @@
 
 impl std::fmt::Display for ReadError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "the record is no evidence of crashes: {}", self.0)
+        write!(f, "invalid crash evidence record: {}", self.0)
     }
 }
 
@@ -34,7 +34,7 @@
     /// The record as the store holds it.
     pub fn to_bytes(&self) -> Vec<u8> {
         let cfg = bincode::config::standard();
-        bincode::serde::encode_to_vec(self, cfg).expect("names and times can always be written")
+        bincode::serde::encode_to_vec(self, cfg).expect("names and times can always be encoded")
     }
 
     /// Reads back what [`Evidence::to_bytes`] gave.
--- a/crates/jacinthbeam-crash/src/exchange.rs
+++ b/crates/jacinthbeam-crash/src/exchange.rs
@@ -22,7 +22,7 @@
 pub const MAX_FACTS_PER_MESSAGE: usize = 256;
 
 /// Hosts that are remembered as told and heard; a host asks a few of its own failure domain and one of each other.
-const MOST_PEERS: usize = 128;
+const MAX_PEERS: usize = 128;
 
 /// How far one host's list is known: a life of its process, and a position in the list that it keeps.
 pub type Cursor = (Incarnation, LogPosition);
@@ -60,16 +60,16 @@
 struct Peer {
     host: Option<HostId>,
     /// How far its list is known here.
-    heard: Option<Cursor>,
+    received: Option<Cursor>,
     /// How far it knows the list of this host, in which life of its own.
-    told: Option<Cursor>,
+    sent: Option<Cursor>,
 }
 
 /// All facts of one host, and how far it has exchanged them with others.
 #[derive(Debug)]
 pub struct Exchange {
-    me: HostId,
-    life: Incarnation,
+    host: HostId,
+    incarnation: Incarnation,
     cases: Cases,
     /// The position after the last fact that was not the answer to a question of this host.
     push_end: LogPosition,
@@ -80,10 +80,10 @@
 
 impl Exchange {
     /// A host that knows of nothing, in one life of its process.
-    pub fn new(me: HostId, life: Incarnation) -> Self {
+    pub fn new(host: HostId, incarnation: Incarnation) -> Self {
         Self {
-            me,
-            life,
+            host,
+            incarnation,
             cases: Cases::default(),
             push_end: LogPosition::default(),
             peers: BTreeMap::new(),
@@ -103,10 +103,10 @@
 
     /// Takes a fact that was seen here. Returns whether it adds anything.
     pub fn observe(&mut self, fact: Fact, now: Instant) -> bool {
-        let adds = self.cases.merge(fact, Source::Observed, now);
-        self.is_record_due |= adds;
-        self.advance_push_end(adds);
-        adds
+        let is_new = self.cases.merge(fact, Source::Observed, now);
+        self.is_record_due |= is_new;
+        self.advance_push_end(is_new);
+        is_new
     }
 
     /// Takes the record of a host that the store holds. Returns whether it adds anything.
@@ -117,9 +117,9 @@
         time_of_day: SystemTime,
     ) -> bool {
         let facts = evidence.facts(now, time_of_day);
-        let adds = self.cases.merge_all(facts, &Source::Store, now);
-        self.advance_push_end(adds);
-        adds
+        let is_new = self.cases.merge_all(facts, &Source::Store, now);
+        self.advance_push_end(is_new);
+        is_new
     }
 
     /// What the store has to hold as the record of this host, if that has changed.
@@ -129,54 +129,54 @@
         if !std::mem::take(&mut self.is_record_due) {
             return None;
         }
-        let facts = aged(self.cases.strongest_facts(MAX_FACTS_PER_RECORD), now);
+        let facts = with_ages(self.cases.strongest_facts(MAX_FACTS_PER_RECORD), now);
         Some(Evidence { written: time_of_day, facts })
     }
 
     /// What to tell the host at `to` with a question.
     pub fn question(&self, to: SocketAddr, now: Instant) -> Question {
         let peer = self.peers.get(&to);
-        let told = peer.and_then(|peer| peer.told).map_or(LogPosition::default(), |(_, end)| end);
+        let sent = peer.and_then(|peer| peer.sent).map_or(LogPosition::default(), |(_, end)| end);
         let host = peer.and_then(|peer| peer.host.as_ref());
-        let (facts, end) = self.cases.since(told, host, MAX_FACTS_PER_MESSAGE);
-        let knows = peer.and_then(|peer| peer.heard);
-        Question { from: self.me.clone(), knows, facts: aged(facts, now), end }
+        let (facts, end) = self.cases.since(sent, host, MAX_FACTS_PER_MESSAGE);
+        let knows = peer.and_then(|peer| peer.received);
+        Question { from: self.host.clone(), knows, facts: with_ages(facts, now), end }
     }
 
     /// Takes the facts of a question, and tells what the asking host hasn't heard.
     pub fn answer(&mut self, question: &Question, now: Instant) -> Answer {
-        let adds = self.take_told(question.facts.clone(), &question.from, now);
-        self.is_record_due |= adds;
-        self.advance_push_end(adds);
-        let known = question.knows.filter(|(life, _)| *life == self.life);
+        let is_new = self.merge_from_peer(question.facts.clone(), &question.from, now);
+        self.is_record_due |= is_new;
+        self.advance_push_end(is_new);
+        let known = question.knows.filter(|(incarnation, _)| *incarnation == self.incarnation);
         let known = known.map_or(LogPosition::default(), |(_, end)| end);
         let (facts, end) = self.cases.since(known, Some(&question.from), MAX_FACTS_PER_MESSAGE);
-        let facts = aged(facts, now);
-        Answer { from: self.me.clone(), life: self.life, facts, end, taken: question.end }
+        let facts = with_ages(facts, now);
+        Answer { from: self.host.clone(), life: self.incarnation, facts, end, taken: question.end }
     }
 
     /// Takes the answer of the host at `of`.
     pub fn on_answer(&mut self, of: SocketAddr, answer: Answer, now: Instant) {
-        self.take_told(answer.facts, &answer.from, now);
-        if self.peers.len() >= MOST_PEERS && !self.peers.contains_key(&of) {
+        self.merge_from_peer(answer.facts, &answer.from, now);
+        if self.peers.len() >= MAX_PEERS && !self.peers.contains_key(&of) {
             self.peers.clear();
         }
         let peer = self.peers.entry(of).or_default();
         // A process that has started again has forgotten what its earlier life was told before this question.
-        let same = peer.told.is_none_or(|(life, _)| life == answer.life);
-        peer.told = same.then_some((answer.life, answer.taken));
-        peer.heard = Some((answer.life, answer.end));
+        let is_same = peer.sent.is_none_or(|(incarnation, _)| incarnation == answer.life);
+        peer.sent = is_same.then_some((answer.life, answer.taken));
+        peer.received = Some((answer.life, answer.end));
         peer.host = Some(answer.from);
     }
 
-    fn take_told(&mut self, facts: Vec<AgedFact>, from: &HostId, now: Instant) -> bool {
+    fn merge_from_peer(&mut self, facts: Vec<AgedFact>, from: &HostId, now: Instant) -> bool {
         // Older than this clock reaches is older than anything that is kept.
         let facts = facts.into_iter().filter_map(|fact| fact.at(now));
         self.cases.merge_all(facts, &Source::Peer(from.clone()), now)
     }
 
-    fn advance_push_end(&mut self, adds: bool) {
-        if adds {
+    fn advance_push_end(&mut self, is_new: bool) {
+        if is_new {
             self.push_end = self.cases.end();
         }
     }
@@ -192,6 +192,6 @@
     }
 }
 
-fn aged(facts: Vec<Fact>, now: Instant) -> Vec<AgedFact> {
+fn with_ages(facts: Vec<Fact>, now: Instant) -> Vec<AgedFact> {
     facts.into_iter().map(|fact| fact.aged(now)).collect()
 }
--- a/crates/jacinthbeam-crash/src/probe.rs
+++ b/crates/jacinthbeam-crash/src/probe.rs
@@ -16,7 +16,7 @@
 pub const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Time without a crash after which the number of drawn hosts doubles, and doubles again.
-const DOUBLES_IN: Duration = Duration::from_secs(20);
+const DOUBLING_PERIOD: Duration = Duration::from_secs(20);
 
 /// The place of a host in the list of all hosts.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -31,7 +31,7 @@
 #[derive(Debug, Default)]
 pub struct Prober {
     /// The slot of the last attempt that was let through.
-    used: BTreeMap<Fingerprint, u128>,
+    last_slot: BTreeMap<Fingerprint, u128>,
 }
 
 impl Prober {
@@ -45,21 +45,21 @@
     ) -> bool {
         let now = time_of_day.duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
         let slot = now.as_millis() / PROBE_INTERVAL.as_millis();
-        if !is_drawn(request, rank, since, slot) || self.used.get(&request) == Some(&slot) {
+        if !is_selected(request, rank, since, slot) || self.last_slot.get(&request) == Some(&slot) {
             return false;
         }
-        self.used.retain(|_, used| used.abs_diff(slot) < 2);
-        self.used.insert(request, slot);
+        self.last_slot.retain(|_, last| last.abs_diff(slot) < 2);
+        self.last_slot.insert(request, slot);
         true
     }
 }
 
-fn is_drawn(request: Fingerprint, rank: Rank, since: Duration, slot: u128) -> bool {
+fn is_selected(request: Fingerprint, rank: Rank, since: Duration, slot: u128) -> bool {
     if rank.hosts == 0 {
         return false;
     }
-    let drawn = (since.as_secs() / DOUBLES_IN.as_secs()).min(31) as u32;
+    let doublings = (since.as_secs() / DOUBLING_PERIOD.as_secs()).min(31) as u32;
     let first = KeyHash::of(format!("{request} {slot}").as_bytes()).0 % u64::from(rank.hosts);
-    let after = (u64::from(rank.index) + u64::from(rank.hosts) - first) % u64::from(rank.hosts);
-    after < 1 << drawn
+    let distance = (u64::from(rank.index) + u64::from(rank.hosts) - first) % u64::from(rank.hosts);
+    distance < 1 << doublings
 }
--- a/crates/jacinthbeam-crash/src/recent.rs
+++ b/crates/jacinthbeam-crash/src/recent.rs
@@ -21,10 +21,10 @@
 pub const RETENTION: Duration = Duration::from_secs(3);
 
 /// Answers that are kept.
-const MOST_ANSWERS: usize = 4096;
+const MAX_SUCCESSES: usize = 4096;
 
 #[derive(Debug)]
-struct Answer {
+struct Success {
     head: HeadDigest,
     body: Bytes,
     caller: IpAddr,
@@ -34,29 +34,29 @@
 /// Requests that this host answered lately.
 #[derive(Debug, Default)]
 pub struct RecentSuccesses {
-    of: VecDeque<Answer>,
+    successes: VecDeque<Success>,
 }
 
 impl RecentSuccesses {
     /// A request of `caller` ran to a good end.
     pub fn add(&mut self, head: HeadDigest, body: Bytes, caller: IpAddr, at: Instant) {
-        let is_old = |answer: &Answer| at.saturating_duration_since(answer.at) >= RETENTION;
-        while self.of.len() >= MOST_ANSWERS || self.of.front().is_some_and(is_old) {
-            self.of.pop_front();
+        let is_old = |success: &Success| at.saturating_duration_since(success.at) >= RETENTION;
+        while self.successes.len() >= MAX_SUCCESSES || self.successes.front().is_some_and(is_old) {
+            self.successes.pop_front();
         }
-        self.of.push_back(Answer { head, body, caller, at });
+        self.successes.push_back(Success { head, body, caller, at });
     }
 
     /// What these answers say of requests that servers are known to have crashed under.
     pub fn facts_for(&self, suspects: &Suspects) -> Vec<Fact> {
-        let of_suspect = |answer: &&Answer| suspects.contains_head(answer.head);
-        let facts = self.of.iter().filter(of_suspect).filter_map(|answer| {
-            let request = Fingerprint::of(answer.head, &answer.body);
+        let may_be_suspect = |success: &&Success| suspects.contains_head(success.head);
+        let facts = self.successes.iter().filter(may_be_suspect).filter_map(|success| {
+            let request = Fingerprint::of(success.head, &success.body);
             let suspect = suspects.get(&request)?;
             let counts =
-                answer.at >= suspect.first_crash && suspect.callers.contains(&answer.caller);
-            let outcome = Outcome::Succeeded { caller: answer.caller };
-            counts.then_some(Fact { request, outcome, at: answer.at })
+                success.at >= suspect.first_crash && suspect.callers.contains(&success.caller);
+            let outcome = Outcome::Succeeded { caller: success.caller };
+            counts.then_some(Fact { request, outcome, at: success.at })
         });
         facts.collect()
     }
--- a/crates/jacinthbeam-crash/src/suspects.rs
+++ b/crates/jacinthbeam-crash/src/suspects.rs
@@ -44,7 +44,7 @@
     ///
     /// Evidence is scoped to the caller, so one caller cannot get another caller's requests blocked. Evidence of several callers holds for all.
     pub fn is_quarantined_for(&self, caller: IpAddr) -> bool {
-        self.is_quarantined() && self.is_shown_for(caller)
+        self.is_quarantined() && self.applies_to(caller)
     }
 
     /// Whether it is refused, for some callers at least.
@@ -55,13 +55,13 @@
 
     /// Whether the request is on probation: one more crash may be enough to refuse it, so attempts are rate-limited fleet-wide.
     pub fn is_on_probation(&self) -> bool {
-        let is_doubted =
+        let is_near_threshold =
             self.attempts >= QUARANTINE_THRESHOLD || self.servers.len() + 1 >= QUARANTINE_THRESHOLD;
-        let is_answered = self.last_cleared.is_some_and(|cleared| cleared > self.last_crash);
-        is_doubted && !is_answered
+        let is_cleared = self.last_cleared.is_some_and(|cleared| cleared > self.last_crash);
+        is_near_threshold && !is_cleared
     }
 
-    fn is_shown_for(&self, caller: IpAddr) -> bool {
+    fn applies_to(&self, caller: IpAddr) -> bool {
         self.callers.len() > 1 || self.callers.contains(&caller)
     }
 }
@@ -69,45 +69,45 @@
 /// All such requests, as one host knows them at one moment.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Suspects {
-    pub(crate) of: BTreeMap<Fingerprint, Suspect>,
+    pub(crate) by_request: BTreeMap<Fingerprint, Suspect>,
 }
 
 impl Suspects {
     /// Whether there are none, so that no request needs to be compared with them.
     pub fn is_empty(&self) -> bool {
-        self.of.is_empty()
+        self.by_request.is_empty()
     }
 
     /// Whether one of them has this head.
     pub fn contains_head(&self, head: HeadDigest) -> bool {
-        let next = self.of.range(Fingerprint::min_with_head(head)..).next();
-        next.is_some_and(|(of, _)| of.head() == head)
+        let next = self.by_request.range(Fingerprint::min_with_head(head)..).next();
+        next.is_some_and(|(request, _)| request.head() == head)
     }
 
     /// What is known of a request.
-    pub fn get(&self, of: &Fingerprint) -> Option<&Suspect> {
-        self.of.get(of)
+    pub fn get(&self, request: &Fingerprint) -> Option<&Suspect> {
+        self.by_request.get(request)
     }
 
     /// Whether a request of this caller is refused.
-    pub fn is_quarantined(&self, of: &Fingerprint, caller: IpAddr) -> bool {
-        self.get(of).is_some_and(|suspect| suspect.is_quarantined_for(caller))
+    pub fn is_quarantined(&self, request: &Fingerprint, caller: IpAddr) -> bool {
+        self.get(request).is_some_and(|suspect| suspect.is_quarantined_for(caller))
     }
 
     /// When the last server crashed under a request that is on probation for this caller.
-    pub fn on_probation(&self, of: &Fingerprint, caller: IpAddr) -> Option<Instant> {
-        let suspect = self.get(of).filter(|suspect| suspect.is_shown_for(caller))?;
+    pub fn on_probation(&self, request: &Fingerprint, caller: IpAddr) -> Option<Instant> {
+        let suspect = self.get(request).filter(|suspect| suspect.applies_to(caller))?;
         suspect.is_on_probation().then_some(suspect.last_crash)
     }
 
     /// Servers that crashed under a request of this caller.
-    pub fn crashed_servers(&self, of: &Fingerprint, caller: IpAddr) -> usize {
-        let suspect = self.get(of).filter(|suspect| suspect.is_shown_for(caller));
+    pub fn crashed_servers(&self, request: &Fingerprint, caller: IpAddr) -> usize {
+        let suspect = self.get(request).filter(|suspect| suspect.applies_to(caller));
         suspect.map_or(0, |suspect| suspect.servers.len())
     }
 
     /// All of them.
     pub fn iter(&self) -> impl Iterator<Item = (&Fingerprint, &Suspect)> {
-        self.of.iter()
+        self.by_request.iter()
     }
 }
