--- a/crates/jacinthbeam-crash/src/cases.rs
+++ b/crates/jacinthbeam-crash/src/cases.rs
@@ -1,7 +1,8 @@
-//! What one host knows of servers that crashed, and of the requests that they were running.
+//! One host's evidence: server crashes, and the requests that were running on those servers.
 //!
-//! Facts join as sets: one that is told twice, late or by several hosts adds nothing. The positions of facts count in the order in which this
-//! host came to know them, and say nothing to others but what they have been told.
+//! Merging is idempotent: a fact that arrives twice, late or from several hosts adds nothing. A
+//! host numbers facts in the order in which it merged them. To other hosts such a position is
+//! only a cursor into this host's log.
 
 use std::{
     cmp::Reverse,
@@ -18,72 +19,82 @@
     suspects::{Suspect, Suspects},
 };
 
-/// How long a request stays suspect after the last crash under it.
+/// How long a request stays suspect after its last crash.
 pub const SUSPICION_TTL: Duration = Duration::from_secs(10 * 60);
 
-/// How long a request is refused after the last crash under it. Then [`QUARANTINE_THRESHOLD`](crate::suspects::QUARANTINE_THRESHOLD) further crashes are needed, in case it
-/// was fixed.
+/// How long a request stays quarantined after its last crash.
+///
+/// It may have been fixed since, so quarantining it again takes [`QUARANTINE_THRESHOLD`] new
+/// crashes.
+///
+/// [`QUARANTINE_THRESHOLD`]: crate::suspects::QUARANTINE_THRESHOLD
 pub const QUARANTINE_TTL: Duration = Duration::from_secs(60 * 60);
 
-/// Requests that are kept. Those with the fewest crashes are evicted first, then the oldest.
+/// Maximum number of requests that evidence is kept for. Those with the fewest crashed servers are
+/// evicted first, the oldest of them before the others.
 pub const MAX_CASES: usize = 1024;
 
-/// Facts that are kept of one request; more of them would change nothing.
+/// Maximum number of facts of each kind for one request. More would not change any decision.
 const MAX_FACTS_PER_REQUEST: usize = 16;
 
-/// Successes of one caller count as the same within this time. A fact bears its age, so that each hop makes it seem later by the time that
-/// it was on its way.
+/// Two successes of one caller that are less than this apart are taken for the same one.
+///
+/// Facts are sent with their age, so each hop makes a fact look more recent by its time in transit,
+/// and without this hosts would forward the same success as a new one again and again.
 const SUCCESS_DEDUP_WINDOW: Duration = Duration::from_secs(1);
 
-/// How many facts a host has come to know before another.
+/// Position in a host's log of facts: the number of facts that it merged before.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct LogPosition(pub u64);
 
 /// What happened to a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// A server crashed while it ran it.
+    /// A server crashed while it ran the request.
     Crashed {
-        /// The life of the server.
+        /// The incarnation of the server.
         server: ServerId,
-        /// Whose attempt it was.
+        /// The caller of the attempt.
         caller: IpAddr,
     },
-    /// It succeeded. Earlier crashes under this caller's attempts no longer count.
+    /// The request succeeded. Earlier crashes under this caller's attempts no longer count.
     ///
-    /// Evidence is scoped to the caller, so that one caller's success clears nothing of another's.
+    /// Evidence is scoped to the caller: a success does not clear crashes under attempts of other
+    /// callers.
     Succeeded {
-        /// Whose attempt it was.
+        /// The caller of the attempt.
         caller: IpAddr,
     },
-    /// An operator allowed it. No earlier crash counts any more.
+    /// An operator allowed the request. No earlier crash counts any more.
     Allowed,
 }
 
-/// Something that happened to a request.
+/// One observation about a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Fact {
     /// The request.
     pub request: Fingerprint,
     /// What happened.
     pub outcome: Outcome,
-    /// When, by the clock of this host.
+    /// When it happened, by the monotonic clock of this host.
     pub at: Instant,
 }
 
-/// A fact as it leaves a host: clocks of hosts have nothing in common, so it bears its age.
+/// A [`Fact`] as it is sent and stored: with its age, because monotonic clocks of different hosts
+/// are not comparable.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AgedFact {
     /// The request.
     pub request: Fingerprint,
     /// What happened.
     pub outcome: Outcome,
-    /// How long ago.
+    /// Time since it happened.
     pub age: Duration,
 }
 
 impl AgedFact {
-    /// The fact, by a clock at `now`; `None` if the clock does not reach back to it.
+    /// Converts the age to a time of a clock that reads `now`; `None` if it is out of the clock's
+    /// range.
     pub fn at(self, now: Instant) -> Option<Fact> {
         let Self { request, outcome, age } = self;
         Some(Fact { request, outcome, at: now.checked_sub(age)? })
@@ -91,19 +102,19 @@
 }
 
 impl Fact {
-    /// The fact as it leaves this host at `now`.
+    /// The fact with its age at `now`.
     pub fn aged(self, now: Instant) -> AgedFact {
         let Self { request, outcome, at } = self;
         AgedFact { request, outcome, age: now.saturating_duration_since(at) }
     }
 }
 
-/// Where a fact comes from.
+/// Where a host got a fact from.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Source {
-    /// This host saw it.
+    /// This host observed it.
     Observed,
-    /// Another host told it.
+    /// Another host sent it.
     Peer(HostId),
     /// It was read from the store.
     Store,
@@ -119,9 +130,11 @@
 #[derive(Debug, Default)]
 struct Case {
     crashes: BTreeMap<(ServerId, IpAddr), Entry>,
-    /// Crashes that were cleared. The life of a server ends once, so none of them is another one.
+    /// Crashes that were cleared. An incarnation crashes only once, so the same crash received
+    /// again is not a new one.
     voided: BTreeSet<(ServerId, IpAddr)>,
-    /// Since when what a caller's attempts had shown no longer counts; `None` stands for all callers.
+    /// Latest success by caller, or latest operator action (`None`, for all callers). Crashes at
+    /// or before it no longer count.
     cleared: BTreeMap<Option<IpAddr>, Entry>,
 }
 
@@ -175,19 +188,20 @@
 }
 
 impl Cases {
-    /// The position of the next fact.
+    /// The log position of the next fact.
     pub fn end(&self) -> LogPosition {
         self.end
     }
 
-    /// Takes a fact. Returns whether it adds anything.
+    /// Merges a fact. Returns whether it was new.
     pub fn merge(&mut self, fact: Fact, source: Source, now: Instant) -> bool {
         self.merge_all([fact], &source, now)
     }
 
-    /// Takes facts that come together. Returns whether any of them adds anything.
+    /// Merges facts that arrived together. Returns whether any of them was new.
     ///
-    /// Only all facts of a request say for how long it is kept.
+    /// Expiry is checked only after all of them are merged, because the time to keep a request
+    /// depends on all its facts.
     pub fn merge_all(
         &mut self,
         facts: impl IntoIterator<Item = Fact>,
@@ -238,15 +252,15 @@
         }
     }
 
-    /// Forgets what has stood for long enough. Returns whether there was any.
+    /// Removes expired requests. Returns whether there were any.
     pub fn expire(&mut self, now: Instant) -> bool {
         let before = self.by_request.len();
         self.by_request.retain(|_, case| !case.is_expired(now));
         self.by_request.len() != before
     }
 
-    /// What came to be known at `from` or later and was not told by the host `to`: so many facts at the most, in their order, and the
-    /// position after the last of them.
+    /// At most `limit` facts from log position `from` on, in log order, without those received from
+    /// `to`, and the position from which to continue.
     pub fn since(
         &self,
         from: LogPosition,
@@ -273,12 +287,13 @@
         (newer.into_values().take(limit).collect(), end)
     }
 
-    /// Servers, by their lives, that crashed under a request since it was last cleared.
+    /// Number of server incarnations that crashed under a request since it was last cleared.
     pub fn servers(&self, request: &Fingerprint) -> usize {
         self.by_request.get(request).map_or(0, Case::servers)
     }
 
-    /// Facts of the requests under which most servers crashed, then of the latest: so many at the most.
+    /// At most `limit` facts, of the requests with the most crashed servers first, the most recent
+    /// of these before the others.
     pub fn strongest_facts(&self, limit: usize) -> Vec<Fact> {
         let mut cases: Vec<(&Fingerprint, &Case)> = self.by_request.iter().collect();
         cases.sort_by_cached_key(|(_, case)| Reverse((case.servers(), case.last())));
@@ -288,7 +303,7 @@
         facts.take(limit).collect()
     }
 
-    /// The requests that are in doubt or refused.
+    /// The requests under which servers crashed since they were last cleared.
     pub fn suspects(&self) -> Suspects {
         let by_request =
             self.by_request.iter().filter_map(|(request, case)| Some((*request, case.suspect()?)));
@@ -310,14 +325,15 @@
         true
     }
 
-    /// Makes room for a crash at `at`, if that is the last one: the first and the last are what counts. Returns whether it is.
+    /// Removes the last crash if it was before `at`, to make room for one at `at`. Returns whether
+    /// it did. Only the times of the first and the last crash matter.
     fn evict_last_before(&mut self, at: Instant) -> bool {
         let last = self.crashes.iter().max_by_key(|(_, entry)| entry.at);
         let last = last.filter(|(_, entry)| entry.at < at).map(|(crash, _)| crash.clone());
         last.is_some_and(|last| self.crashes.remove(&last).is_some())
     }
 
-    /// Whether what this caller's attempts had shown at a moment no longer counts.
+    /// Whether a crash under an attempt of `caller` at `at` no longer counts.
     fn is_cleared(&self, caller: IpAddr, at: Instant) -> bool {
         let cleared = [None, Some(caller)].into_iter().filter_map(|scope| self.cleared.get(&scope));
         cleared.into_iter().any(|cleared| at <= cleared.at)
@@ -326,7 +342,7 @@
     fn clear(&mut self, scope: Option<IpAddr>, entry: Entry) -> bool {
         let known = self.cleared.get(&scope).map(|cleared| cleared.at);
         let is_full = self.cleared.len() >= MAX_FACTS_PER_REQUEST && known.is_none();
-        // What an operator says always has room.
+        // The limit does not apply to an operator's action.
         if known.is_some_and(|at| entry.at <= at) || (is_full && scope.is_some()) {
             return false;
         }
@@ -338,7 +354,8 @@
         true
     }
 
-    /// Takes away the crashes up to `at` under attempts of a caller, or of all. Returns whether there were any.
+    /// Moves crashes up to `at` under attempts of the caller `scope`, or of all callers, to
+    /// `voided`. Returns whether there were any.
     fn void_crashes(&mut self, scope: Option<IpAddr>, at: Instant) -> bool {
         let applies = |(_, caller): &(ServerId, IpAddr), crash: &mut Entry| {
             crash.at <= at && scope.is_none_or(|scope| scope == *caller)
--- a/crates/jacinthbeam-crash/src/evidence.rs
+++ b/crates/jacinthbeam-crash/src/evidence.rs
@@ -1,4 +1,4 @@
-//! What a host knows of crashes, in a form that outlasts the memory of all hosts.
+//! Durable form of a host's evidence, for the case that all hosts restart.
 
 use std::time::{Instant, SystemTime};
 
@@ -6,19 +6,19 @@
 
 use crate::cases::{AgedFact, Fact};
 
-/// Facts of one record, of up to some 70 bytes each.
+/// Maximum number of facts in one record. Each takes up to about 70 bytes.
 pub const MAX_FACTS_PER_RECORD: usize = 128;
 
-/// The record of one host.
+/// The record of one host in the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evidence {
-    /// When it was written, by the time of day.
+    /// When it was written, by the host's wall clock.
     pub written: SystemTime,
-    /// The facts, with their age at that time.
+    /// The facts, with their ages at that time.
     pub facts: Vec<AgedFact>,
 }
 
-/// Why bytes are no evidence.
+/// Error of [`Evidence::from_bytes`].
 #[derive(Debug)]
 pub struct ReadError(bincode::error::DecodeError);
 
@@ -31,22 +31,24 @@
 impl std::error::Error for ReadError {}
 
 impl Evidence {
-    /// The record as the store holds it.
+    /// Encodes the record for the store.
     pub fn to_bytes(&self) -> Vec<u8> {
         let cfg = bincode::config::standard();
         bincode::serde::encode_to_vec(self, cfg).expect("names and times can always be encoded")
     }
 
-    /// Reads back what [`Evidence::to_bytes`] gave.
+    /// Decodes a record that [`Evidence::to_bytes`] encoded.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self, ReadError> {
         let cfg = bincode::config::standard();
         let (evidence, _) = bincode::serde::decode_from_slice(bytes, cfg).map_err(ReadError)?;
         Ok(evidence)
     }
 
-    /// The facts of the record, by the clocks of the host that reads it at `now`.
+    /// The facts of the record, with times of the reading host's clock, which reads `now`.
+    ///
+    /// `time_of_day` is the wall clock of the reading host, to compare with `written`.
     pub fn facts(self, now: Instant, time_of_day: SystemTime) -> Vec<Fact> {
-        // A time of day that was set back makes the record look new, and it is kept longer.
+        // If the wall clock was set back, the record looks newer than it is and is kept longer.
         let since = time_of_day.duration_since(self.written).unwrap_or_default();
         let facts = self.facts.into_iter().filter_map(|fact| {
             let age = fact.age.saturating_add(since);
--- a/crates/jacinthbeam-crash/src/exchange.rs
+++ b/crates/jacinthbeam-crash/src/exchange.rs
@@ -1,7 +1,8 @@
-//! Passing facts between hosts: what one has told another, and what it has been told.
+//! Exchange of facts between hosts.
 //!
-//! A host that asks another for news tells it, with the question, what that one hasn't heard from it yet, and gets with the answer what
-//! it hasn't heard. Both count by the position in the list of who tells, within one life of that host's process.
+//! A host that polls another sends, with its question, the facts that the other host has not
+//! received from it yet, and the answer returns the facts that it lacks itself. Each side counts by
+//! positions in the sender's log, which are valid for one incarnation of the sender's process.
 
 use std::{
     collections::BTreeMap,
@@ -18,50 +19,51 @@
     suspects::Suspects,
 };
 
-/// Facts of one message, of up to some 70 bytes each.
+/// Maximum number of facts in one message. Each takes up to about 70 bytes.
 pub const MAX_FACTS_PER_MESSAGE: usize = 256;
 
-/// Hosts that are remembered as told and heard; a host asks a few of its own failure domain and one of each other.
+/// Maximum number of peers whose progress is stored. A host polls a few hosts of its own failure
+/// domain and one of each other.
 const MAX_PEERS: usize = 128;
 
-/// How far one host's list is known: a life of its process, and a position in the list that it keeps.
+/// How far a host's log is known: the incarnation of its process, and a position in its log.
 pub type Cursor = (Incarnation, LogPosition);
 
-/// What the asking host tells with its question.
+/// What the polling host sends with its question.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Question {
-    /// The asking host.
+    /// The polling host.
     pub from: HostId,
-    /// How far it knows the list of the host that it asks.
+    /// How far it knows the log of the polled host.
     pub knows: Option<Cursor>,
-    /// What that host has not heard from it.
+    /// Facts that the polled host has not received from it.
     pub facts: Vec<AgedFact>,
-    /// The position after them in its own list.
+    /// The position after them in its own log.
     pub end: LogPosition,
 }
 
-/// What the answering host tells.
+/// What the polled host replies.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answer {
-    /// The answering host.
+    /// The polled host.
     pub from: HostId,
-    /// The life of its process.
+    /// The incarnation of its process.
     pub life: Incarnation,
-    /// What the asking host has not heard from it.
+    /// Facts that the polling host has not received from it.
     pub facts: Vec<AgedFact>,
-    /// The position after them in its own list.
+    /// The position after them in its own log.
     pub end: LogPosition,
-    /// The position that the question ended at: everything before it was taken.
+    /// The question's `end`: all facts before this position were merged.
     pub taken: LogPosition,
 }
 
-/// What is known of another host that this one asks.
+/// Progress of the exchange with another host that this one polls.
 #[derive(Debug, Default)]
 struct Peer {
     host: Option<HostId>,
-    /// How far its list is known here.
+    /// How far this host has received the peer's log.
     received: Option<Cursor>,
-    /// How far it knows the list of this host, in which life of its own.
+    /// The incarnation of the peer, and the position in this host's log up to which it has merged.
     sent: Option<Cursor>,
 }
 
@@ -71,15 +73,15 @@
     host: HostId,
     incarnation: Incarnation,
     cases: Cases,
-    /// The position after the last fact that was not the answer to a question of this host.
+    /// The position after the last fact that did not arrive in an answer to this host.
     push_end: LogPosition,
     peers: BTreeMap<SocketAddr, Peer>,
-    /// Whether facts have come, other than in answers to this host, that its record in the store does not hold.
+    /// Whether the host's record in the store lacks facts, other than those from answers.
     is_record_due: bool,
 }
 
 impl Exchange {
-    /// A host that knows of nothing, in one life of its process.
+    /// Starts without facts, for one incarnation of the process of `host`.
     pub fn new(host: HostId, incarnation: Incarnation) -> Self {
         Self {
             host,
@@ -91,17 +93,18 @@
         }
     }
 
-    /// The position of the next fact.
+    /// The log position of the next fact.
     pub fn end(&self) -> LogPosition {
         self.cases.end()
     }
 
-    /// The position up to which the hosts that this one asks should be told, without waiting for the next question.
+    /// The position up to which facts should be pushed to the polled hosts without waiting for the
+    /// next regular question.
     pub fn push_end(&self) -> LogPosition {
         self.push_end
     }
 
-    /// Takes a fact that was seen here. Returns whether it adds anything.
+    /// Merges a fact that this host observed. Returns whether it was new.
     pub fn observe(&mut self, fact: Fact, now: Instant) -> bool {
         let is_new = self.cases.merge(fact, Source::Observed, now);
         self.is_record_due |= is_new;
@@ -109,7 +112,8 @@
         is_new
     }
 
-    /// Takes the record of a host that the store holds. Returns whether it adds anything.
+    /// Merges the record of a host that was read from the store. Returns whether any of its facts
+    /// was new.
     pub fn merge_record(
         &mut self,
         evidence: Evidence,
@@ -122,9 +126,10 @@
         is_new
     }
 
-    /// What the store has to hold as the record of this host, if that has changed.
+    /// The record of this host to write to the store, if it has changed since the last call.
     ///
-    /// Facts that came in answers are left to the hosts that gave them: each is recorded once for each failure domain that saw it.
+    /// Facts from answers do not make a record due, because the host that answered records them: a
+    /// fact is recorded once for each failure domain that observed it.
     pub fn take_due_record(&mut self, now: Instant, time_of_day: SystemTime) -> Option<Evidence> {
         if !std::mem::take(&mut self.is_record_due) {
             return None;
@@ -133,7 +138,7 @@
         Some(Evidence { written: time_of_day, facts })
     }
 
-    /// What to tell the host at `to` with a question.
+    /// The question to the host at `to`, with the facts that it lacks.
     pub fn question(&self, to: SocketAddr, now: Instant) -> Question {
         let peer = self.peers.get(&to);
         let sent = peer.and_then(|peer| peer.sent).map_or(LogPosition::default(), |(_, end)| end);
@@ -143,7 +148,7 @@
         Question { from: self.host.clone(), knows, facts: with_ages(facts, now), end }
     }
 
-    /// Takes the facts of a question, and tells what the asking host hasn't heard.
+    /// Merges the facts of a question, and answers with those that the polling host lacks.
     pub fn answer(&mut self, question: &Question, now: Instant) -> Answer {
         let is_new = self.merge_from_peer(question.facts.clone(), &question.from, now);
         self.is_record_due |= is_new;
@@ -155,14 +160,15 @@
         Answer { from: self.host.clone(), life: self.incarnation, facts, end, taken: question.end }
     }
 
-    /// Takes the answer of the host at `of`.
+    /// Merges the answer of the host at `of`.
     pub fn on_answer(&mut self, of: SocketAddr, answer: Answer, now: Instant) {
         self.merge_from_peer(answer.facts, &answer.from, now);
         if self.peers.len() >= MAX_PEERS && !self.peers.contains_key(&of) {
             self.peers.clear();
         }
         let peer = self.peers.entry(of).or_default();
-        // A process that has started again has forgotten what its earlier life was told before this question.
+        // After a restart the peer lacks what its earlier incarnation received, so everything is
+        // sent again.
         let is_same = peer.sent.is_none_or(|(incarnation, _)| incarnation == answer.life);
         peer.sent = is_same.then_some((answer.life, answer.taken));
         peer.received = Some((answer.life, answer.end));
@@ -170,7 +176,7 @@
     }
 
     fn merge_from_peer(&mut self, facts: Vec<AgedFact>, from: &HostId, now: Instant) -> bool {
-        // Older than this clock reaches is older than anything that is kept.
+        // A fact from before this clock's range is older than anything that is kept.
         let facts = facts.into_iter().filter_map(|fact| fact.at(now));
         self.cases.merge_all(facts, &Source::Peer(from.clone()), now)
     }
@@ -181,12 +187,12 @@
         }
     }
 
-    /// Forgets what has stood for long enough. Returns whether there was any.
+    /// Removes expired requests. Returns whether there were any.
     pub fn expire(&mut self, now: Instant) -> bool {
         self.cases.expire(now)
     }
 
-    /// The requests that are in doubt or refused.
+    /// The requests under which servers crashed since they were last cleared.
     pub fn suspects(&self) -> Suspects {
         self.cases.suspects()
     }
--- a/crates/jacinthbeam-crash/src/fingerprint.rs
+++ b/crates/jacinthbeam-crash/src/fingerprint.rs
@@ -1,26 +1,27 @@
-//! What tells one request from another, whichever host it comes to and however often it is sent.
+//! Identity of a request: the same on every host and for every attempt.
 
 use std::{fmt, str::FromStr};
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// Digest of what a request's head says.
+/// Digest of the parts of a request's head that identify it, such as its method and path.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct HeadDigest(u64);
 
 impl HeadDigest {
-    /// The digest of these parts. Each counts with its length, so that no two lists of parts run together.
+    /// The digest of these parts. Each is hashed with its length, so that different lists of parts
+    /// never hash the same bytes.
     pub fn of(parts: &[&[u8]]) -> Self {
         Self(digest(parts))
     }
 }
 
-/// Digest of everything that makes two attempts the same request.
+/// Identity of a request: attempts with equal fingerprints are attempts of the same request.
 ///
-/// Both halves are cut from SHA-256, so that no caller can find a request of its own with the fingerprint of another's. The head
-/// comes first: a body, which may be long, needs to be digested only if a known fingerprint has the same head. The text is 32
-/// hexadecimal digits.
+/// Both halves are truncated SHA-256 digests, so that no caller can construct a request with the
+/// fingerprint of another caller's request. The head comes first: a body, which may be long, is
+/// digested only if a suspect request has the same head. As text it is 32 hexadecimal digits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Fingerprint {
     head: HeadDigest,
@@ -28,17 +29,17 @@
 }
 
 impl Fingerprint {
-    /// The fingerprint of a request with this head and body.
+    /// The fingerprint of the request with this head and body.
     pub fn of(head: HeadDigest, body: &[u8]) -> Self {
         Self { head, body: digest(&[&head.0.to_be_bytes(), body]) }
     }
 
-    /// The first of all fingerprints with this head.
+    /// The lowest of all fingerprints with this head.
     pub fn min_with_head(head: HeadDigest) -> Self {
         Self { head, body: 0 }
     }
 
-    /// What the request's head says.
+    /// The digest of the request's head.
     pub fn head(&self) -> HeadDigest {
         self.head
     }
@@ -61,7 +62,7 @@
     }
 }
 
-/// A text is no fingerprint.
+/// The text is not a fingerprint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ParseError;
 
--- a/crates/jacinthbeam-crash/src/lib.rs
+++ b/crates/jacinthbeam-crash/src/lib.rs
@@ -1,9 +1,12 @@
-//! Requests that end the backend servers that run them: queries of death.
+//! Queries of death: requests under which the backend servers that run them crash.
 //!
-//! A server that ends under a request is, to the host that sent it, a broken connection, and the next attempt of the same request may
-//! come to any other host. This crate tells requests apart ([`Fingerprint`]), keeps what all hosts saw of servers that ended
-//! ([`Cases`]), passes it between hosts ([`Exchange`]) and says which requests are sent to no server any more ([`Suspects`]).
-//! It does no I/O and reads no clock of its own. Who proves that a server has ended, and what its caller is told, is left to others.
+//! To the host that sent the request, a crash is only a broken connection, and the next attempt of
+//! the same request may arrive at any other host. This crate identifies requests ([`Fingerprint`]),
+//! stores the evidence of all hosts ([`Cases`]), exchanges it between hosts ([`Exchange`]) and
+//! decides which requests are quarantined or on probation ([`Suspects`], [`Prober`]).
+//!
+//! It does no I/O and reads no clock. Detecting that a server has crashed and responding to the
+//! caller are left to the host.
 
 pub mod cases;
 pub mod evidence;
--- a/crates/jacinthbeam-crash/src/probe.rs
+++ b/crates/jacinthbeam-crash/src/probe.rs
@@ -1,7 +1,8 @@
-//! Which host may send an attempt of a request that is on probation.
+//! Rate limit, across the fleet, for attempts of a request that is on probation.
 //!
-//! The time of day is cut into slots, and in each slot one host of the fleet is drawn, more of them the longer the last crash was ago.
-//! Each lets one attempt a slot through. Clocks that differ, or lists of hosts that do, draw a few more.
+//! Wall clock time is divided into slots. In each slot one host of the fleet is selected by hash,
+//! and more of them the longer ago the last crash is. A selected host admits one attempt per slot.
+//! If the clocks or the host lists of hosts differ, a few more hosts may be selected.
 
 use std::{
     collections::BTreeMap,
@@ -12,30 +13,31 @@
 
 use crate::fingerprint::Fingerprint;
 
-/// Length of a slot: hosts in touch observe a crash within it.
+/// Length of a slot. Connected hosts receive the evidence of a crash within this time.
 pub const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time without a crash after which the number of drawn hosts doubles, and doubles again.
+/// Period after which the number of selected hosts doubles, while no server crashes.
 const DOUBLING_PERIOD: Duration = Duration::from_secs(20);
 
-/// The place of a host in the list of all hosts.
+/// Position of a host in the sorted list of all hosts.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Rank {
-    /// Hosts before it.
+    /// Number of hosts before it.
     pub index: u32,
-    /// All hosts; 0 if the host is not on its own list.
+    /// Number of all hosts; 0 if the host is not in its own list.
     pub hosts: u32,
 }
 
-/// The probes of one host.
+/// Admission of probes by one host.
 #[derive(Debug, Default)]
 pub struct Prober {
-    /// The slot of the last attempt that was let through.
+    /// The slot in which the last attempt of a request was admitted.
     last_slot: BTreeMap<Fingerprint, u128>,
 }
 
 impl Prober {
-    /// Whether an attempt of the request may be sent now, so long `since` the last crash. It counts as sent.
+    /// Whether an attempt of the request may be sent now, `since` after the last crash. If so, it
+    /// uses up this host's slot.
     pub fn admit(
         &mut self,
         request: Fingerprint,
--- a/crates/jacinthbeam-crash/src/recent.rs
+++ b/crates/jacinthbeam-crash/src/recent.rs
@@ -1,7 +1,7 @@
-//! Answers of the last seconds, for evidence that arrives after them.
+//! Successful requests of the last seconds, for evidence of crashes that arrives after them.
 //!
-//! A host clears a request that it answers only if it knows that servers have crashed under it. An update that is late finds the
-//! answer here, and the answer counts from when it was given.
+//! A host reports a success only for requests that it knows servers to have crashed under. If it
+//! receives that evidence late, the success is found here and counts from the time of the response.
 
 use std::{
     collections::VecDeque,
@@ -17,10 +17,10 @@
     suspects::Suspects,
 };
 
-/// How long an answer is kept: hosts in touch observe a crash within this time.
+/// How long a success is kept. Connected hosts receive the evidence of a crash within this time.
 pub const RETENTION: Duration = Duration::from_secs(3);
 
-/// Answers that are kept.
+/// Maximum number of successes that are kept.
 const MAX_SUCCESSES: usize = 4096;
 
 #[derive(Debug)]
@@ -31,14 +31,14 @@
     at: Instant,
 }
 
-/// Requests that this host answered lately.
+/// Requests that recently succeeded at this host.
 #[derive(Debug, Default)]
 pub struct RecentSuccesses {
     successes: VecDeque<Success>,
 }
 
 impl RecentSuccesses {
-    /// A request of `caller` ran to a good end.
+    /// Adds a successful request of `caller`.
     pub fn add(&mut self, head: HeadDigest, body: Bytes, caller: IpAddr, at: Instant) {
         let is_old = |success: &Success| at.saturating_duration_since(success.at) >= RETENTION;
         while self.successes.len() >= MAX_SUCCESSES || self.successes.front().is_some_and(is_old) {
@@ -47,7 +47,7 @@
         self.successes.push_back(Success { head, body, caller, at });
     }
 
-    /// What these answers say of requests that servers are known to have crashed under.
+    /// Successes of suspect requests, as facts that clear the crashes before them.
     pub fn facts_for(&self, suspects: &Suspects) -> Vec<Fact> {
         let may_be_suspect = |success: &&Success| suspects.contains_head(success.head);
         let facts = self.successes.iter().filter(may_be_suspect).filter_map(|success| {
