--- a/crates/jacinthbeam-types/src/server.rs
+++ b/crates/jacinthbeam-types/src/server.rs
@@ -7,7 +7,7 @@
 use crate::id::{Born, NameError, ServerName};
 
 /// Stands between the name and the time of birth in text. No name contains it.
-const BORN_AT: char = '~';
+const BORN_SEPARATOR: char = '~';
 
 /// One life of a backend server: its name, and when it started if it says so.
 ///
@@ -54,7 +54,7 @@
 impl fmt::Display for ServerId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.born {
-            Some(born) => write!(f, "{}{BORN_AT}{born}", self.name),
+            Some(born) => write!(f, "{}{BORN_SEPARATOR}{born}", self.name),
             None => self.name.fmt(f),
         }
     }
@@ -73,7 +73,9 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Name(err) => err.fmt(f),
-            Self::Born(err) => write!(f, "the time of birth is no whole number of ms: {err}"),
+            Self::Born(err) => {
+                write!(f, "the start time is not a whole number of milliseconds: {err}")
+            }
         }
     }
 }
@@ -84,7 +86,7 @@
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let (name, born) = match text.split_once(BORN_AT) {
+        let (name, born) = match text.split_once(BORN_SEPARATOR) {
             Some((name, born)) => (name, Some(born.parse().map_err(Error::Born)?)),
             None => (text, None),
         };
--- a/crates/jacinthbeam-types/src/size.rs
+++ b/crates/jacinthbeam-types/src/size.rs
@@ -14,7 +14,7 @@
 
 impl fmt::Display for ParseError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:?} is no number with an optional unit (KiB, MiB or GiB)", self.0)
+        write!(f, "{:?} is not a number with an optional unit (KiB, MiB or GiB)", self.0)
     }
 }
 
@@ -61,7 +61,7 @@
 
 impl fmt::Display for ParseMillicoresError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:?} is no number of thousandths of a core such as \"200m\"", self.0)
+        write!(f, "{:?} is not a number of thousandths of a core such as \"200m\"", self.0)
     }
 }
 
@@ -92,7 +92,7 @@
 
 impl fmt::Display for ParseRateError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} is no rate such as \"4.4/s\"", self.0)
+        write!(f, "{} is not a rate such as \"4.4/s\"", self.0)
     }
 }
 
