--- a/crates/jacinthbeam-types/src/clock.rs
+++ b/crates/jacinthbeam-types/src/clock.rs
@@ -1,4 +1,4 @@
-//! Time is handed in, so that every decision can be repeated in a test.
+//! Clocks, passed in as a dependency so that tests can reproduce every decision.
 
 use std::{
     fmt,
@@ -8,10 +8,10 @@
 
 /// Source of time for a process.
 pub trait Clock: fmt::Debug + Send + Sync + 'static {
-    /// Monotonic time. All leases, timeouts and deadlines are counted on it.
+    /// Monotonic time. All leases, timeouts and deadlines are measured with it.
     fn now(&self) -> Instant;
 
-    /// Time of day, for logs and usage records only. No decision depends on it.
+    /// Wall clock time, for logs and usage records only. No decision depends on it.
     fn wall(&self) -> SystemTime;
 }
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// A clock that moves only when told to.
+/// A clock for tests, which advances only by [`ManualClock::advance`].
 #[derive(Debug)]
 pub struct ManualClock {
     start: Instant,
@@ -37,12 +37,12 @@
 }
 
 impl ManualClock {
-    /// A clock that stands at its start.
+    /// A clock at its start time.
     pub fn new() -> Self {
         Self { start: Instant::now(), elapsed: Mutex::new(Duration::ZERO) }
     }
 
-    /// Moves the clock forward.
+    /// Advances the clock.
     pub fn advance(&self, by: Duration) {
         *self.elapsed.lock().expect("no holder of the lock panics") += by;
     }
--- a/crates/jacinthbeam-types/src/id.rs
+++ b/crates/jacinthbeam-types/src/id.rs
@@ -1,13 +1,13 @@
-//! Newtypes for every name and number that identifies something.
+//! Newtypes for names and numbers that identify something.
 
 use std::{fmt, num::ParseIntError, str::FromStr};
 
 use serde::{Deserialize, Serialize};
 
-/// Longest accepted name, in bytes. Names travel in every message between hosts.
+/// Maximum length of a name, in bytes. Every message between hosts contains names.
 pub const MAX_NAME_BYTES: usize = 128;
 
-/// Why a text is no valid name.
+/// Why a text is not a valid name.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum NameError {
     /// The text is empty.
@@ -125,19 +125,19 @@
 }
 
 name! {
-    /// A service that routes lead to, as named in the configuration.
+    /// A service of the configuration, the target of routes.
     ServiceName
 }
 name! {
-    /// The team that a service's use is counted against.
+    /// The team that is charged for a service's usage.
     TeamName
 }
 name! {
-    /// A host of the system, stable across restarts of its process.
+    /// A host of the system; the same across restarts of its process.
     HostId
 }
 name! {
-    /// What a backend server is listed under. It may bear the same name when it starts again.
+    /// The name that a backend server is listed under. It may have the same name after a restart.
     ServerName
 }
 name! {
@@ -145,30 +145,32 @@
     FailureDomain
 }
 name! {
-    /// A region: failure domains that lie together, and within which data has to stay where its route says so.
+    /// A group of nearby failure domains. A route may require that its data stays within a region.
     Region
 }
 number! {
-    /// One life of a process. Drawn at its start so that no two lives share it.
+    /// Identifies one incarnation of a process. Chosen at its start so that no two share it.
     Incarnation(u64)
 }
 number! {
-    /// When a life of a backend server started, in milliseconds since the Unix epoch by the server's own clock.
+    /// Start time of an incarnation of a backend server, in milliseconds since the Unix epoch, by
+    /// the server's own clock.
     Born(u64)
 }
 number! {
-    /// Counts the processes that granted the keys of a service, one after the other.
+    /// Increases with each process that takes over granting the keys of a service.
     Epoch(u64)
 }
 number! {
-    /// Position of a record in a partition of the platform's store.
+    /// Offset of a record in a partition of the platform's store.
     Offset(u64)
 }
 number! {
-    /// Fencing token of a grant; a backend server accepts no lower one than the highest it has seen.
+    /// Fencing token of a grant. A backend server rejects tokens lower than the highest it has
+    /// seen.
     Token(u64)
 }
 number! {
-    /// Number of an accepted configuration; rises with each.
+    /// Version of an accepted configuration. Increases with each.
     ConfigVersion(u64)
 }
--- a/crates/jacinthbeam-types/src/lib.rs
+++ b/crates/jacinthbeam-types/src/lib.rs
@@ -1,7 +1,7 @@
-//! Vocabulary shared by every crate of the workspace: ids, sizes, verdicts, time and key hashing.
+//! Types shared by every crate of the workspace: ids, sizes, verdicts, clocks and key hashes.
 //!
-//! This crate decides nothing and does no I/O. What the words mean for the protocol is told in
-//! `docs/OWNERSHIP.md` and `docs/REQUESTS.md`.
+//! This crate contains no protocol logic and does no I/O. `docs/OWNERSHIP.md` and
+//! `docs/REQUESTS.md` define what the types mean in the protocol.
 
 pub mod clock;
 pub mod id;
--- a/crates/jacinthbeam-types/src/server.rs
+++ b/crates/jacinthbeam-types/src/server.rs
@@ -1,4 +1,4 @@
-//! Which life of a backend server is meant.
+//! Identity of one incarnation of a backend server.
 
 use std::{fmt, num::ParseIntError, str::FromStr};
 
@@ -6,16 +6,16 @@
 
 use crate::id::{Born, NameError, ServerName};
 
-/// Stands between the name and the time of birth in text. No name contains it.
+/// Separates the name from the start time in text. Names cannot contain it.
 const BORN_SEPARATOR: char = '~';
 
-/// One life of a backend server: its name, and when it started if it says so.
+/// One incarnation of a backend server: its name, and its start time if the server reports it.
 ///
-/// A server that starts again has forgotten its keys and the tokens that it saw, whether it takes a new name or keeps the old
-/// one. Two ids are therefore two servers, although the later one may be found under the name of the earlier.
+/// A restarted server has lost its keys and the tokens that it had seen, whether it has a new name
+/// or the same one. Different ids are therefore different servers, even if they share a name.
 ///
-/// As text it is the name, or the name and the time of birth as in `s1~1790000000000`. Records of versions that knew the name only
-/// read as a life of unknown birth.
+/// As text it is the name, or the name and the start time as in `s1~1790000000000`. Records of
+/// versions that stored only the name are read as an incarnation with unknown start time.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct ServerId {
@@ -24,22 +24,22 @@
 }
 
 impl ServerId {
-    /// The life of the server `name` that started at `born`; `None` if that is not known.
+    /// The incarnation of the server `name` that started at `born`; `None` if that is not known.
     pub fn new(name: ServerName, born: Option<Born>) -> Self {
         Self { name, born }
     }
 
-    /// What the server is listed under.
+    /// The name that the server is listed under.
     pub fn name(&self) -> &ServerName {
         &self.name
     }
 
-    /// When this life started, if it says so.
+    /// The start time of this incarnation, if the server reports it.
     pub fn born(&self) -> Option<Born> {
         self.born
     }
 
-    /// Whether `other` is another life under the same name.
+    /// Whether `other` is another incarnation under the same name.
     pub fn is_other_incarnation(&self, other: &Self) -> bool {
         self.name == other.name && self.born != other.born
     }
@@ -60,12 +60,12 @@
     }
 }
 
-/// Why a text names no life of a server.
+/// Why a text is not a [`ServerId`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Error {
-    /// The name is none.
+    /// The name is invalid.
     Name(NameError),
-    /// What follows the name is no time of birth.
+    /// The text after the name is not a start time.
     Born(ParseIntError),
 }
 
--- a/crates/jacinthbeam-types/src/size.rs
+++ b/crates/jacinthbeam-types/src/size.rs
@@ -1,4 +1,4 @@
-//! Sizes with their units.
+//! Quantities with their units.
 
 use std::{fmt, str::FromStr};
 
@@ -8,7 +8,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Bytes(pub u64);
 
-/// The text is no size.
+/// The text is not a number of bytes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ParseError(String);
 
@@ -55,7 +55,7 @@
     pub const CORE: Self = Self(1000);
 }
 
-/// The text is no share of a processor.
+/// The text is not a share of a processor.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ParseMillicoresError(String);
 
@@ -82,11 +82,11 @@
     }
 }
 
-/// Requests a second, in thousandths. Written as `4.4/s`.
+/// A rate of requests, in thousandths of a request per second. Written as `4.4/s`.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Rate(pub u32);
 
-/// The text or number is no rate.
+/// The text or number is not a rate.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ParseRateError(String);
 
@@ -99,7 +99,7 @@
 impl std::error::Error for ParseRateError {}
 
 impl Rate {
-    /// The rate of this many requests a second.
+    /// The rate of this many requests per second.
     pub fn from_per_second(value: f64) -> Result<Self, ParseRateError> {
         let thousandths = value * 1000.0;
         if !(0.0..=f64::from(u32::MAX)).contains(&thousandths) {
@@ -108,7 +108,7 @@
         Ok(Self(thousandths.round() as u32))
     }
 
-    /// Requests a second.
+    /// Requests per second.
     pub fn per_second(self) -> f64 {
         f64::from(self.0) / 1000.0
     }
--- a/crates/jacinthbeam-types/src/verdict.rs
+++ b/crates/jacinthbeam-types/src/verdict.rs
@@ -1,4 +1,4 @@
-//! What the system can vouch for about a request that got no whole answer.
+//! What is certain about a request that got no complete response.
 
 use std::{fmt, str::FromStr, time::Duration};
 
@@ -7,16 +7,16 @@
 /// Whether a request may have run on a backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Verdict {
-    /// No backend server ran it and none will. Said only with proof.
+    /// No backend server ran it and none will. Reported only with proof.
     NotRun,
-    /// It was handed to a backend server, or may have been; nobody knows whether it ran.
+    /// It was sent to a backend server, or may have been; whether it ran is unknown.
     MayHaveRun,
     /// A backend server ran it.
     Ran,
 }
 
 impl Verdict {
-    /// All verdicts, weakest claim about an effect first.
+    /// All verdicts, ordered from no effect to a certain effect.
     pub const ALL: [Self; 3] = [Self::NotRun, Self::MayHaveRun, Self::Ran];
 
     /// The text used in headers and logs.
@@ -35,7 +35,7 @@
     }
 }
 
-/// The text names no verdict.
+/// The text is not a verdict.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ParseError;
 
@@ -58,29 +58,29 @@
 /// Why a request was refused or failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Reason {
-    /// The request itself is malformed or names no key, or its limits are exceeded.
+    /// The request is malformed, has no key, or exceeds a limit.
     BadRequest,
     /// No route is configured for the request.
     UnknownService,
-    /// The host has not yet read a configuration.
+    /// The host has not read a configuration yet.
     NoConfiguration,
-    /// No route is known for the request, by a configuration that may not be the one in force.
+    /// No route matches the request in this host's configuration, which may be out of date.
     OldConfiguration,
     /// No backend server owns the key at present.
     NoOwner,
     /// The key is being moved to another backend server.
     Moving,
-    /// The owner can't be reached from here.
+    /// The owner can't be reached from this host.
     Unreachable,
-    /// Backend servers have no room, or can't answer in time.
+    /// Backend servers are at capacity, or can't respond in time.
     Overloaded,
-    /// Servers have ended each time that they ran the request, and it is sent to none any more.
+    /// Servers crashed under the request, which is quarantined or on probation.
     EndsServers,
     /// The deadline passed.
     DeadlinePassed,
     /// The backend server refused it before running it.
     RefusedByServer,
-    /// The connection to the backend server broke or went silent.
+    /// The connection to the backend server broke or timed out.
     ConnectionLost,
 }
 
@@ -105,29 +105,29 @@
     }
 }
 
-/// A request that got no answer of a backend server, and what can be said of it.
+/// Why a request got no response of a backend server, and whether it may have run.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
     /// Whether it may have run.
     pub verdict: Verdict,
     /// Why it was refused or failed.
     pub reason: Reason,
-    /// When a repeat is worth trying, if that is known.
+    /// Delay before a retry is likely to succeed, if that is known.
     pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
-    /// A refusal with proof that the request did not run.
+    /// A refusal of a request that certainly did not run.
     pub fn not_run(reason: Reason) -> Self {
         Self { verdict: Verdict::NotRun, reason, retry_after: None }
     }
 
-    /// A failure after which nobody knows whether the request ran.
+    /// A failure after which it is unknown whether the request ran.
     pub fn may_have_run(reason: Reason) -> Self {
         Self { verdict: Verdict::MayHaveRun, reason, retry_after: None }
     }
 
-    /// The same refusal with a hint for when to come back.
+    /// Adds the delay before a retry.
     #[must_use]
     pub fn retry_after(mut self, after: Duration) -> Self {
         self.retry_after = Some(after);
