--- a/crates/jacinthbeam-crash/tests/exchange.rs
+++ b/crates/jacinthbeam-crash/tests/exchange.rs
@@ -20,7 +20,7 @@
     Fingerprint::of(HeadDigest::of(&[b"GET", &n.to_be_bytes()]), b"")
 }
 
-fn see(host: &mut Exchange, of: usize, now: Instant) {
+fn observe_crash(host: &mut Exchange, of: usize, now: Instant) {
     let server = ServerName::into("s1".parse().unwrap());
     let outcome = Outcome::Crashed { server, caller: Ipv4Addr::LOCALHOST.into() };
     host.observe(Fact { request: request(of), outcome, at: now }, now);
@@ -31,7 +31,7 @@
 }
 
 /// `a` asks `b` once. Returns how many facts went each way.
-fn ask(a: &mut Exchange, b: &mut Exchange, now: Instant) -> (usize, usize) {
+fn poll(a: &mut Exchange, b: &mut Exchange, now: Instant) -> (usize, usize) {
     let question = a.question(ADDR, now);
     let answer = b.answer(&question, now);
     let facts = (question.facts.len(), answer.facts.len());
@@ -40,65 +40,65 @@
 }
 
 #[test]
-fn facts_go_both_ways_and_each_once() {
+fn each_fact_is_sent_once_in_both_directions() {
     let now = Instant::now();
     let (mut a, mut b) = (host("a", 1), host("b", 2));
-    see(&mut a, 1, now);
-    see(&mut b, 2, now);
-    assert_eq!(ask(&mut a, &mut b, now), (1, 1));
+    observe_crash(&mut a, 1, now);
+    observe_crash(&mut b, 2, now);
+    assert_eq!(poll(&mut a, &mut b, now), (1, 1));
     assert!([&a, &b].iter().all(|host| knows(host, 1) && knows(host, 2)));
-    assert_eq!(ask(&mut a, &mut b, now), (0, 0), "what was told comes back");
+    assert_eq!(poll(&mut a, &mut b, now), (0, 0), "a fact is sent again");
 }
 
 /// The host that is followed is killed and starts again, and with it goes what it had heard from its followers. A third server ends under
 /// a request of which the followers know two, and nobody else hears of these.
 #[test]
-fn a_host_that_started_again_is_told_everything() {
+fn restarted_peer_is_sent_everything() {
     let now = Instant::now();
     let (mut a, mut b) = (host("a", 1), host("b", 2));
-    see(&mut a, 1, now);
-    ask(&mut a, &mut b, now);
+    observe_crash(&mut a, 1, now);
+    poll(&mut a, &mut b, now);
     let mut again = host("b", 3);
     // The first question goes out before its life is known to be another.
-    ask(&mut a, &mut again, now);
-    ask(&mut a, &mut again, now);
+    poll(&mut a, &mut again, now);
+    poll(&mut a, &mut again, now);
     assert!(knows(&again, 1));
 }
 
 /// The host that is followed starts again, and learns other facts. Its list is counted anew, so that a place in the list of before says nothing.
 #[test]
-fn a_host_that_started_again_is_asked_for_everything() {
+fn restarted_peer_is_read_from_the_start() {
     let now = Instant::now();
     let (mut a, mut b) = (host("a", 1), host("b", 2));
-    see(&mut b, 1, now);
-    ask(&mut a, &mut b, now);
+    observe_crash(&mut b, 1, now);
+    poll(&mut a, &mut b, now);
     let mut again = host("b", 3);
-    see(&mut again, 2, now);
-    ask(&mut a, &mut again, now);
+    observe_crash(&mut again, 2, now);
+    poll(&mut a, &mut again, now);
     assert!(knows(&a, 2));
 }
 
 /// The answer is lost, so that the asking host doesn't know what the other has taken. It tells it again, which adds nothing.
 #[test]
-fn a_lost_answer_changes_nothing() {
+fn facts_resent_after_a_lost_answer_add_nothing() {
     let now = Instant::now();
     let (mut a, mut b) = (host("a", 1), host("b", 2));
-    see(&mut a, 1, now);
-    see(&mut b, 2, now);
+    observe_crash(&mut a, 1, now);
+    observe_crash(&mut b, 2, now);
     b.answer(&a.question(ADDR, now), now);
     let end = b.end();
-    assert_eq!(ask(&mut a, &mut b, now), (1, 1));
+    assert_eq!(poll(&mut a, &mut b, now), (1, 1));
     assert_eq!(b.end(), end);
     assert!(knows(&a, 2) && knows(&b, 1));
 }
 
 #[test]
-fn many_facts_are_told_in_parts() {
+fn many_facts_are_sent_in_several_messages() {
     let now = Instant::now();
     let (mut a, mut b) = (host("a", 1), host("b", 2));
     let facts = 2 * MAX_FACTS_PER_MESSAGE + 1;
-    (0..facts).for_each(|of| see(&mut a, of, now));
-    let told: Vec<usize> = (0..4).map(|_| ask(&mut a, &mut b, now).0).collect();
-    assert_eq!(told, [MAX_FACTS_PER_MESSAGE, MAX_FACTS_PER_MESSAGE, 1, 0]);
+    (0..facts).for_each(|of| observe_crash(&mut a, of, now));
+    let sent: Vec<usize> = (0..4).map(|_| poll(&mut a, &mut b, now).0).collect();
+    assert_eq!(sent, [MAX_FACTS_PER_MESSAGE, MAX_FACTS_PER_MESSAGE, 1, 0]);
     assert!((0..facts).all(|of| knows(&b, of)));
 }
--- a/crates/jacinthbeam-crash/tests/fingerprint.rs
+++ b/crates/jacinthbeam-crash/tests/fingerprint.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn parts_do_not_run_together() {
+fn boundaries_of_parts_matter() {
     assert_eq!(of(&["/a", "b"], "c"), of(&["/a", "b"], "c"));
     assert_ne!(of(&["/a", "b"], "c"), of(&["/ab", ""], "c"));
     assert_ne!(of(&["/a", "b"], "c"), of(&["/a", "b", ""], "c"));
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_fingerprint_is_read_back_from_its_text() {
+fn text_is_parsed_back() {
     let of = of(&["GET", "/a"], "");
     assert_eq!(of.to_string().parse(), Ok(of));
     for bad in ["", "+0000000000000000000000000000000", "00", &format!("{of}0")] {
--- a/crates/jacinthbeam-crash/tests/world/mod.rs
+++ b/crates/jacinthbeam-crash/tests/world/mod.rs
@@ -1,9 +1,13 @@
-//! Hosts that exchange what they saw of servers that ended, in virtual time, with messages that are late or lost.
+//! Simulation, in virtual time, of hosts that exchange evidence of crashes while messages are
+//! delayed or lost.
 //!
-//! Whom a host asks follows the program's rules in short: the first host of its failure domain, and that one the first of each other
-//! domain. Everything else is decided by the crate under test.
+//! Which peers a host polls is a simplified form of the real rules: the first host of its failure
+//! domain, and that host polls the first one of each other domain. Everything else is decided by
+//! the crate under test.
+//!
+//! Hosts, requests and callers are numbered: `n` is a host, `of` a request and `by` a caller.
 
-mod news;
+mod poll;
 mod store;
 
 use std::{
@@ -18,37 +22,37 @@
     fingerprint::HeadDigest, probe::Rank,
 };
 use jacinthbeam_types::prelude::*;
-use news::Ask;
+use poll::Poll;
 
-/// Milliseconds of one step.
-const STEP: u64 = 10;
+/// Simulated time of one step, in milliseconds.
+const STEP_MS: u64 = 10;
 
-/// Milliseconds between two times that a host tells of facts.
-const TELL_EVERY: u64 = 50;
+/// Minimum time between two publications of new facts by a host, in milliseconds.
+const PUBLISH_EVERY_MS: u64 = 50;
 
-/// Milliseconds from the start of a host to its first caller.
-const READY_IN: u64 = 1000;
+/// Time from the start of a host to its first caller, in milliseconds.
+const STARTUP_MS: u64 = 1000;
 
-/// What goes wrong, by chance.
+/// Random conditions of a simulation.
 #[derive(Clone, Copy)]
-pub struct Odds {
-    /// Of a message to be lost.
-    pub lost: f64,
-    /// Longest way of a message, in milliseconds.
-    pub latency: u64,
-    /// Ordinary requests that run on a server when it ends, at the most.
-    pub running: usize,
+pub struct Conditions {
+    /// Probability that a message is lost.
+    pub message_loss: f64,
+    /// Maximum latency of a message, in milliseconds.
+    pub max_latency_ms: u64,
+    /// Maximum number of ordinary requests that run on a server when it crashes.
+    pub max_bystanders: usize,
 }
 
 struct Host {
     domain: usize,
-    life: u64,
+    incarnation: u64,
     starts_at: u64,
     exchange: Exchange,
     suspects: Suspects,
-    told_at: u64,
-    told_end: u64,
-    asks: BTreeMap<usize, Ask>,
+    published_at: u64,
+    published_end: u64,
+    polls: BTreeMap<usize, Poll>,
     recent: RecentSuccesses,
     prober: Prober,
     /// Whether it has read the store since its start.
@@ -59,20 +63,22 @@
 pub struct World {
     pub now: u64,
     pub rng: fastrand::Rng,
-    odds: Odds,
-    begun: Instant,
+    conditions: Conditions,
+    start: Instant,
     hosts: Vec<Host>,
     domains: usize,
-    cut: Option<usize>,
-    lives: u64,
-    /// Servers that have ended so far.
-    servers: u32,
-    /// What the store holds.
+    /// The failure domain that is partitioned from the others.
+    partitioned: Option<usize>,
+    /// Incarnations of hosts so far.
+    incarnations: u64,
+    /// Servers that have crashed so far.
+    crashed_servers: u32,
+    /// Records in the store, by host.
     store: BTreeMap<usize, Evidence>,
-    /// Writes on their way to it: when they are kept, and of which host.
-    writes: Vec<(u64, usize, Evidence)>,
-    /// Writes so far.
-    pub written: u32,
+    /// Writes in flight: when they complete, and of which host.
+    pending_writes: Vec<(u64, usize, Evidence)>,
+    /// Number of writes so far.
+    pub writes: u32,
 }
 
 fn head(n: u64) -> HeadDigest {
@@ -92,40 +98,43 @@
 }
 
 impl World {
-    pub fn new(hosts: usize, domains: usize, odds: Odds, seed: u64) -> Self {
+    pub fn new(hosts: usize, domains: usize, conditions: Conditions, seed: u64) -> Self {
         let mut world = Self {
             now: 0,
             rng: fastrand::Rng::with_seed(seed),
-            odds,
-            begun: Instant::now(),
+            conditions,
+            start: Instant::now(),
             hosts: Vec::new(),
             domains,
-            cut: None,
-            lives: 0,
-            servers: 0,
+            partitioned: None,
+            incarnations: 0,
+            crashed_servers: 0,
             store: BTreeMap::new(),
-            writes: Vec::new(),
-            written: 0,
+            pending_writes: Vec::new(),
+            writes: 0,
         };
         for n in 0..hosts {
             let host = world.host(n, 0);
             world.hosts.push(host);
         }
-        world.run_for(READY_IN);
+        world.run_for(STARTUP_MS);
         world
     }
 
     fn host(&mut self, n: usize, starts_at: u64) -> Host {
-        self.lives += 1;
+        self.incarnations += 1;
         Host {
             domain: n % self.domains,
-            life: self.lives,
+            incarnation: self.incarnations,
             starts_at,
-            exchange: Exchange::new(format!("h{n}").parse().unwrap(), Incarnation(self.lives)),
+            exchange: Exchange::new(
+                format!("h{n}").parse().unwrap(),
+                Incarnation(self.incarnations),
+            ),
             suspects: Suspects::default(),
-            told_at: 0,
-            told_end: 0,
-            asks: BTreeMap::new(),
+            published_at: 0,
+            published_end: 0,
+            polls: BTreeMap::new(),
             recent: RecentSuccesses::default(),
             prober: Prober::default(),
             has_read: false,
@@ -133,11 +142,11 @@
         }
     }
 
-    /// The process of a host ends and starts again.
+    /// Restarts the process of a host.
     pub fn restart(&mut self, n: usize) {
         let starts_at = self.now + self.rng.u64(100..1500);
-        // What a process that ends had under way may be lost.
-        self.writes.retain(|(_, of, ..)| *of != n);
+        // Writes in flight are lost with the process.
+        self.pending_writes.retain(|(_, of, ..)| *of != n);
         self.hosts[n] = self.host(n, starts_at);
     }
 
@@ -145,43 +154,44 @@
         (0..self.hosts.len()).for_each(|n| self.restart(n));
     }
 
-    /// Cuts a failure domain off from the others, or heals that.
-    pub fn cut(&mut self, domain: Option<usize>) {
-        self.cut = domain;
+    /// Partitions a failure domain from the others; `None` heals the partition.
+    pub fn partition(&mut self, domain: Option<usize>) {
+        self.partitioned = domain;
     }
 
     pub fn domain(&self, n: usize) -> usize {
         self.hosts[n].domain
     }
 
-    /// Whether callers reach a host.
-    pub fn serves(&self, n: usize) -> bool {
-        self.now >= self.hosts[n].starts_at + READY_IN
+    /// Whether a host is ready to serve callers.
+    pub fn is_ready(&self, n: usize) -> bool {
+        self.now >= self.hosts[n].starts_at + STARTUP_MS
     }
 
-    fn runs(&self, n: usize) -> bool {
+    fn is_running(&self, n: usize) -> bool {
         self.now >= self.hosts[n].starts_at
     }
 
-    fn reach(&self, a: usize, b: usize) -> bool {
-        let across = |n: usize| Some(self.hosts[n].domain) == self.cut;
-        self.runs(a) && self.runs(b) && across(a) == across(b)
+    fn is_connected(&self, a: usize, b: usize) -> bool {
+        let is_inside = |n: usize| Some(self.hosts[n].domain) == self.partitioned;
+        self.is_running(a) && self.is_running(b) && is_inside(a) == is_inside(b)
     }
 
-    fn at(&self) -> Instant {
-        self.begun + Duration::from_millis(self.now)
+    fn instant(&self) -> Instant {
+        self.start + Duration::from_millis(self.now)
     }
 
+    /// Whether a host refuses a request because it is quarantined.
     pub fn refuses(&self, n: usize, of: u64, by: u64) -> bool {
         self.hosts[n].suspects.is_quarantined(&request(of), caller(by))
     }
 
-    /// Whether a host sends an attempt of a request, as requests are admitted.
+    /// Whether a host admits an attempt of a request, under quarantine and probation.
     pub fn admits(&mut self, n: usize, of: u64, by: u64) -> bool {
         if self.refuses(n, of, by) {
             return false;
         }
-        let (at, time_of_day) = (self.at(), self.time_of_day());
+        let (at, time_of_day) = (self.instant(), self.time_of_day());
         let rank = Rank { index: n as u32, hosts: self.hosts.len() as u32 };
         let host = &mut self.hosts[n];
         let (request, caller) = (request(of), caller(by));
@@ -189,27 +199,27 @@
         host.prober.admit(request, rank, at.saturating_duration_since(last), time_of_day)
     }
 
-    /// A server ends under attempts of one request from several callers, each at a host of its own.
-    pub fn end_server_under(&mut self, of: u64, attempts: &[(usize, u64)]) {
-        self.servers += 1;
-        let server = ServerName::into(format!("s{}", self.servers).parse().unwrap());
+    /// Crashes a server under attempts of one request, given as pairs of host and caller.
+    pub fn crash_server_under(&mut self, of: u64, attempts: &[(usize, u64)]) {
+        self.crashed_servers += 1;
+        let server = ServerName::into(format!("s{}", self.crashed_servers).parse().unwrap());
         for (n, by) in attempts {
             let caller = caller(*by);
-            self.see(*n, of, Outcome::Crashed { server: ServerId::clone(&server), caller });
+            self.observe(*n, of, Outcome::Crashed { server: ServerId::clone(&server), caller });
         }
     }
 
-    /// A server ends under this request, and under ordinary ones of other hosts.
-    pub fn end_server(&mut self, n: usize, of: Option<(u64, u64)>) {
-        self.servers += 1;
-        let server = ServerName::into(format!("s{}", self.servers).parse().unwrap());
+    /// Crashes a server that runs this request, given as request and caller, and ordinary ones.
+    pub fn crash_server(&mut self, n: usize, of: Option<(u64, u64)>) {
+        self.crashed_servers += 1;
+        let server = ServerName::into(format!("s{}", self.crashed_servers).parse().unwrap());
         let mut running: Vec<(usize, (u64, u64))> = of.map(|of| (n, of)).into_iter().collect();
-        for _ in 0..self.rng.usize(0..=self.odds.running) {
+        for _ in 0..self.rng.usize(0..=self.conditions.max_bystanders) {
             let at = self.rng.usize(..self.hosts.len());
             running.push((at, (1000 + self.rng.u64(..1 << 40), self.rng.u64(1..200))));
         }
         for (at, (of, by)) in running {
-            self.see(
+            self.observe(
                 at,
                 of,
                 Outcome::Crashed { server: ServerId::clone(&server), caller: caller(by) },
@@ -217,28 +227,29 @@
         }
     }
 
-    /// A host sees something.
-    pub fn see(&mut self, n: usize, of: u64, outcome: Outcome) {
-        let at = self.at();
-        if self.runs(n) {
+    /// Makes a host observe an outcome.
+    pub fn observe(&mut self, n: usize, of: u64, outcome: Outcome) {
+        let at = self.instant();
+        if self.is_running(n) {
             self.hosts[n].exchange.observe(Fact { request: request(of), outcome, at }, at);
         }
     }
 
-    /// Facts that hosts have come to know so far, all hosts together.
-    pub fn facts_known(&self) -> u64 {
+    /// Number of facts that hosts have merged so far, summed over all hosts.
+    pub fn total_facts(&self) -> u64 {
         self.hosts.iter().map(|host| host.exchange.end().0).sum()
     }
 
-    /// An ordinary request of a caller is answered at a host, if that doesn't refuse it. Returns whether it is.
-    pub fn answer(&mut self, n: usize, of: u64, by: u64) -> bool {
+    /// Serves an ordinary request of a caller at a host, unless the host refuses it. Returns
+    /// whether it was served.
+    pub fn serve(&mut self, n: usize, of: u64, by: u64) -> bool {
         if self.refuses(n, of, by) {
             return false;
         }
-        let at = self.at();
+        let at = self.instant();
         self.hosts[n].recent.add(head(of), Bytes::new(), caller(by), at);
         if self.hosts[n].suspects.get(&request(of)).is_some() {
-            self.see(n, of, Outcome::Succeeded { caller: caller(by) });
+            self.observe(n, of, Outcome::Succeeded { caller: caller(by) });
         }
         true
     }
@@ -246,15 +257,15 @@
     pub fn run_for(&mut self, span: u64) {
         let end = self.now + span;
         while self.now < end {
-            self.now += STEP;
-            self.write();
+            self.now += STEP_MS;
+            self.complete_writes();
             (0..self.hosts.len())
-                .filter(|n| self.runs(*n))
+                .filter(|n| self.is_running(*n))
                 .collect::<Vec<_>>()
                 .into_iter()
                 .for_each(|n| {
-                    self.tell(n);
-                    self.ask(n);
+                    self.publish(n);
+                    self.poll(n);
                 });
         }
     }
@@ -263,14 +274,14 @@
         SystemTime::UNIX_EPOCH + Duration::from_millis(self.now)
     }
 
-    /// Makes new facts act.
-    fn tell(&mut self, n: usize) {
+    /// Applies new facts to the decisions of a host.
+    fn publish(&mut self, n: usize) {
         self.record(n);
-        let (now, at) = (self.now, self.at());
+        let (now, at) = (self.now, self.instant());
         let host = &mut self.hosts[n];
         let end = host.exchange.end().0;
-        if end != host.told_end && now >= host.told_at + TELL_EVERY {
-            (host.told_at, host.told_end) = (now, end);
+        if end != host.published_end && now >= host.published_at + PUBLISH_EVERY_MS {
+            (host.published_at, host.published_end) = (now, end);
             host.suspects = host.exchange.suspects();
             for fact in host.recent.facts_for(&host.suspects) {
                 host.exchange.observe(fact, at);
