--- a/crates/jacinthbeam-crash/tests/cases.rs
+++ b/crates/jacinthbeam-crash/tests/cases.rs
@@ -1,4 +1,4 @@
-//! Which requests are refused for the servers that ended under them.
+//! Which requests are quarantined for the servers that crashed under them, and for how long.
 
 use std::{
     net::{IpAddr, Ipv4Addr},
@@ -34,12 +34,12 @@
     Fact { request: request(of), outcome: Outcome::Succeeded { caller: caller(by) }, at }
 }
 
-/// So many servers ended one after the other.
+/// Crashes of so many servers, [`MIN_CRASH_SPAN`] apart.
 fn crashes_in_sequence(of: usize, by: u8, servers: u32, from: Instant) -> Vec<Fact> {
     (1..=servers).map(|n| crashed(of, by, n, from + MIN_CRASH_SPAN * n)).collect()
 }
 
-/// Facts that were seen here.
+/// Merges facts as observed by this host.
 fn cases(facts: impl IntoIterator<Item = Fact>, now: Instant) -> Cases {
     let mut cases = Cases::default();
     for fact in facts {
@@ -62,7 +62,8 @@
     assert!(!is_quarantined(&three, 2, 1), "another request is quarantined");
 }
 
-/// A server that ends breaks all connections to it, at several hosts and for several attempts of one request. It is one server.
+/// Guards against one crash that counts several times because it breaks connections of several
+/// hosts and several attempts of one request.
 #[test]
 fn server_counts_once_for_any_number_of_observers() {
     let now = Instant::now();
@@ -71,8 +72,9 @@
     assert!((0..3).all(|by| !is_quarantined(&cases, 1, by)));
 }
 
-/// A rack loses power, and a request that many send alike was on three of its servers. It is served on, by others. One that is the cause ends
-/// another server later, however many it ended at first.
+/// Guards against the quarantine of a popular request that ran on three servers of a rack which
+/// lost power. A request that is the cause crashes another server later, however many it crashed
+/// at first.
 #[test]
 fn simultaneous_crashes_do_not_quarantine() {
     let now = Instant::now();
@@ -87,7 +89,7 @@
     assert!(is_quarantined(&cases, 1, 1));
 }
 
-/// A server that starts again under its name is another one: the request has ended both.
+/// Guards against incarnations of one server that count as one: the request crashed each of them.
 #[test]
 fn each_incarnation_of_a_server_counts() {
     let now = Instant::now();
@@ -100,8 +102,9 @@
     assert!(is_quarantined(&cases(facts, now), 1, 1));
 }
 
-/// One caller sends what another sends too, and lets it meet servers that end. What it shows is held against itself alone; what
-/// the attempts of two callers show is a fault of the request.
+/// Guards against a caller that gets another caller's request refused by sending the same request
+/// to servers that crash. Evidence of one caller applies to that caller only, evidence of two
+/// callers to all.
 #[test]
 fn crashes_under_one_caller_do_not_quarantine_another() {
     let now = Instant::now();
@@ -111,7 +114,8 @@
     assert!(is_quarantined(&cases, 1, 2) && is_quarantined(&cases, 1, 3));
 }
 
-/// A hot key's reader meets three owners that end one after the other, each for reasons of its own, and is answered in between.
+/// Guards against the quarantine of a request for a hot key whose owners crash one after the other
+/// for other reasons, and which succeeds in between.
 #[test]
 fn success_clears_earlier_crashes() {
     let now = Instant::now();
@@ -130,7 +134,8 @@
     assert!(is_quarantined(&cases, 1, 1), "later crashes are cleared too");
 }
 
-/// Another caller reads the same path and is answered, again and again. That says nothing of the caller under whose attempts servers end.
+/// Guards against successes of one caller that clear crashes under another caller's attempts of the
+/// same request.
 #[test]
 fn success_of_one_caller_does_not_clear_another() {
     let now = Instant::now();
@@ -164,7 +169,8 @@
     assert!(!cases.merge(old, Source::Observed, now + SUSPICION_TTL), "an expired crash is new");
 }
 
-/// A failure domain loses its power, and thousands of requests were running there. The memory is bounded, and the request that is refused stays.
+/// Guards against memory that grows without bound, and against the eviction of a quarantined
+/// request, when a failure domain loses power while it runs thousands of requests.
 #[test]
 fn quarantined_request_outlasts_any_number_of_suspects() {
     let now = Instant::now();
@@ -185,7 +191,8 @@
     assert!(suspects.get(&Fingerprint::of(head(1), b"another body")).is_none());
 }
 
-/// Guards against a crash that counts again after it was cleared, told by a host that makes it seem later than the success.
+/// Guards against a cleared crash that counts again because another host sends it with a time after
+/// the success.
 #[test]
 fn cleared_crash_does_not_count_again() {
     let now = Instant::now();
@@ -205,7 +212,8 @@
     assert_eq!(cases.servers(&request(1)), 1);
 }
 
-/// Guards against a success that counts as another one since it seems a little later, and against one that clears nothing for that reason.
+/// Guards against a success that is new because it looks slightly more recent, and against one that
+/// is dropped for that reason although it clears a crash.
 #[test]
 fn more_recent_success_is_new_only_if_it_clears_a_crash() {
     let now = Instant::now();
--- a/crates/jacinthbeam-crash/tests/evidence.rs
+++ b/crates/jacinthbeam-crash/tests/evidence.rs
@@ -1,4 +1,4 @@
-//! What the store keeps of crashes, read back late, twice, or after all that it says has been forgotten.
+//! Records of evidence in the store, read back late, twice, or after they have expired.
 
 use std::{
     net::{IpAddr, Ipv4Addr, SocketAddr},
@@ -33,7 +33,7 @@
     host.suspects().crashed_servers(&request(of), CALLER)
 }
 
-/// What a host records that saw so many servers crash under one request, and when the last did.
+/// The record of a host that observed so many crashes under one request, and the time of the last.
 fn record_of(crashes: usize) -> (Evidence, Instant) {
     let (mut host, now) = (host("a", 1), Instant::now());
     let last = now + MIN_CRASH_SPAN * crashes as u32;
@@ -47,7 +47,7 @@
     SystemTime::UNIX_EPOCH + by
 }
 
-/// Guards against a first crash that only the memory of a host holds.
+/// Guards against a first crash that is only in the memory of a host.
 #[test]
 fn first_crash_is_recorded() {
     let (record, last) = record_of(1);
@@ -56,7 +56,7 @@
     assert_eq!(crashed_servers(&other, 1), 1);
 }
 
-/// Guards against a call to the store for evidence that it holds already.
+/// Guards against a write of evidence that the store holds already.
 #[test]
 fn known_crash_is_not_recorded_again() {
     let (mut a, now) = (host("a", 1), Instant::now());
@@ -67,7 +67,8 @@
     assert_eq!(a.take_due_record(now, SystemTime::UNIX_EPOCH), None);
 }
 
-/// Guards against each host of a fleet recording the same crash: one that is told it in an answer leaves it to the host that answered.
+/// Guards against the same crash being recorded by each host of a fleet: a host that receives it in
+/// an answer leaves the record to the host that answered.
 #[test]
 fn crash_is_recorded_by_the_polled_host() {
     let addr = SocketAddr::new(CALLER, 1);
@@ -84,7 +85,7 @@
     assert_eq!(a.take_due_record(now, SystemTime::UNIX_EPOCH), None);
 }
 
-/// Guards against one crash that counts twice, read back by hosts that had recorded it each.
+/// Guards against a crash that counts twice when it is read from the records of two hosts.
 #[test]
 fn evidence_read_twice_counts_once() {
     let (record, last) = record_of(2);
@@ -94,7 +95,7 @@
     assert_eq!(crashed_servers(&other, 1), 2);
 }
 
-/// Guards against a record that is lost when its host starts again and writes another in its place.
+/// Guards against evidence that is lost when a restarted host overwrites its record.
 #[test]
 fn record_includes_the_evidence_of_an_earlier_incarnation() {
     let (record, last) = record_of(2);
@@ -107,7 +108,8 @@
     assert_eq!((crashed_servers(&other, 1), crashed_servers(&other, 7)), (2, 1));
 }
 
-/// Guards against an ordinary request that is refused after a restart for crashes before an answer to it.
+/// Guards against the quarantine of an ordinary request, after a restart, for crashes before its
+/// last success.
 #[test]
 fn recorded_success_clears_crashes_recorded_by_another_host() {
     let (record, last) = record_of(3);
@@ -125,7 +127,7 @@
     }
 }
 
-/// Guards against doubt that outlasts its time because it was read back.
+/// Guards against suspicion that outlasts its time to live because it was read back.
 #[test]
 fn old_evidence_expires_when_read() {
     for (crashes, ttl) in [(2, SUSPICION_TTL), (3, QUARANTINE_TTL)] {
@@ -140,7 +142,8 @@
     }
 }
 
-/// Guards against a request that is sent again to a host that started more than ten minutes after the last crash.
+/// Guards against a quarantined request that is sent again by a host which started more than ten
+/// minutes after the last crash.
 #[test]
 fn host_that_starts_late_receives_the_quarantine() {
     let (mut a, now) = (host("a", 1), Instant::now());
@@ -155,8 +158,10 @@
     assert!(late.suspects().is_quarantined(&request(1), CALLER));
 }
 
-/// Load pattern: all servers of a failure domain crash at once. Guards against a record that grows with the fleet, and one that leaves out
-/// the request that is to blame.
+/// Guards against a record that grows with the fleet, and against one that omits the request that
+/// caused the crashes.
+///
+/// Load pattern: all servers of a failure domain crash at the same time.
 #[test]
 fn record_is_bounded_and_keeps_the_strongest_facts() {
     let (mut host, now) = (host("a", 1), Instant::now());
--- a/crates/jacinthbeam-crash/tests/exchange.rs
+++ b/crates/jacinthbeam-crash/tests/exchange.rs
@@ -1,4 +1,4 @@
-//! What two hosts tell each other, over lost answers and restarts.
+//! Exchange of facts between two hosts, with lost answers and restarts.
 
 use std::{
     net::{Ipv4Addr, SocketAddr},
@@ -30,7 +30,7 @@
     host.suspects().get(&request(of)).is_some()
 }
 
-/// `a` asks `b` once. Returns how many facts went each way.
+/// `a` polls `b` once. Returns the number of facts sent in each direction.
 fn poll(a: &mut Exchange, b: &mut Exchange, now: Instant) -> (usize, usize) {
     let question = a.question(ADDR, now);
     let answer = b.answer(&question, now);
@@ -50,8 +50,8 @@
     assert_eq!(poll(&mut a, &mut b, now), (0, 0), "a fact is sent again");
 }
 
-/// The host that is followed is killed and starts again, and with it goes what it had heard from its followers. A third server ends under
-/// a request of which the followers know two, and nobody else hears of these.
+/// Guards against crashes that a polled host lacks after its restart: its pollers know of two
+/// crashes under a request, and no other host receives these before the third.
 #[test]
 fn restarted_peer_is_sent_everything() {
     let now = Instant::now();
@@ -59,13 +59,14 @@
     observe_crash(&mut a, 1, now);
     poll(&mut a, &mut b, now);
     let mut again = host("b", 3);
-    // The first question goes out before its life is known to be another.
+    // The first question is sent before the new incarnation is known.
     poll(&mut a, &mut again, now);
     poll(&mut a, &mut again, now);
     assert!(knows(&again, 1));
 }
 
-/// The host that is followed starts again, and learns other facts. Its list is counted anew, so that a place in the list of before says nothing.
+/// Guards against a position in the log of an earlier incarnation that is applied to the log of a
+/// restarted host, which holds other facts.
 #[test]
 fn restarted_peer_is_read_from_the_start() {
     let now = Instant::now();
@@ -78,7 +79,8 @@
     assert!(knows(&a, 2));
 }
 
-/// The answer is lost, so that the asking host doesn't know what the other has taken. It tells it again, which adds nothing.
+/// Guards against facts that are lost or counted twice when an answer is lost, so that the polling
+/// host sends again what the other has merged.
 #[test]
 fn facts_resent_after_a_lost_answer_add_nothing() {
     let now = Instant::now();
--- a/crates/jacinthbeam-crash/tests/fingerprint.rs
+++ b/crates/jacinthbeam-crash/tests/fingerprint.rs
@@ -1,4 +1,4 @@
-//! Fingerprints tell requests apart.
+//! Fingerprints identify requests, and their text can be parsed.
 
 use jacinthbeam_crash::{Fingerprint, fingerprint::HeadDigest};
 
--- a/crates/jacinthbeam-crash/tests/world/store.rs
+++ b/crates/jacinthbeam-crash/tests/world/store.rs
@@ -1,13 +1,13 @@
-//! What hosts keep in the store.
+//! Reads and writes of records in the store.
 
 use super::World;
 
-/// Milliseconds until a write is kept, and from one write of a host to the next.
+/// Duration of a write, and minimum time between two writes of a host, in milliseconds.
 const WRITE_TIME_MS: u64 = 20;
 const WRITE_EVERY_MS: u64 = 200;
 
 impl World {
-    /// Keeps what has reached the store.
+    /// Stores the records of writes that are complete by now.
     pub(super) fn complete_writes(&mut self) {
         let now = self.now;
         for (_, n, evidence) in self.pending_writes.extract_if(.., |write| write.0 <= now) {
@@ -15,7 +15,7 @@
         }
     }
 
-    /// Reads the store once, and writes what there is to write.
+    /// Reads the store once after the start of a host, and writes the host's record if it is due.
     pub(super) fn record(&mut self, n: usize) {
         let (at, time_of_day) = (self.instant(), self.time_of_day());
         let is_recorder = self.first_before(n).is_none();
