--- a/crates/jacinthbeam-crash/src/exchange.rs
+++ b/crates/jacinthbeam-crash/src/exchange.rs
@@ -76,7 +76,8 @@
     /// The position after the last fact that did not arrive in an answer to this host.
     push_end: LogPosition,
     peers: BTreeMap<SocketAddr, Peer>,
-    /// Whether the host's record in the store lacks facts, other than those from answers.
+    /// Whether the host's record in the store lacks facts that this host observed, or received with
+    /// a question.
     is_record_due: bool,
 }
 
--- a/crates/jacinthbeam-crash/src/probe.rs
+++ b/crates/jacinthbeam-crash/src/probe.rs
@@ -16,7 +16,7 @@
 /// Length of a slot. Connected hosts receive the evidence of a crash within this time.
 pub const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Period after which the number of selected hosts doubles, while no server crashes.
+/// Each such period without a crash doubles the number of selected hosts.
 const DOUBLING_PERIOD: Duration = Duration::from_secs(20);
 
 /// Position of a host in the sorted list of all hosts.
--- a/crates/jacinthbeam-crash/src/suspects.rs
+++ b/crates/jacinthbeam-crash/src/suspects.rs
@@ -12,9 +12,8 @@
 
 /// Number of servers that have to crash under a request before it is quarantined.
 ///
-/// At most one of the requests that run on a server causes its crash. It happens now and then that
-/// an innocent one also runs on a second server that crashes. A third one without a success in
-/// between is very unlikely.
+/// At most one of the requests that run on a server causes its crash. Now and then another one also
+/// runs on a second server that crashes, but hardly ever on a third without a success in between.
 pub const QUARANTINE_THRESHOLD: usize = 3;
 
 /// Minimum time from the first to the last crash before a request is quarantined.
--- a/crates/jacinthbeam-crash/tests/cases.rs
+++ b/crates/jacinthbeam-crash/tests/cases.rs
@@ -52,6 +52,7 @@
     cases.suspects().is_quarantined(&request(of), caller(by))
 }
 
+/// Guards against a quarantine after two crashes, none after three, and one of another request.
 #[test]
 fn third_crashed_server_quarantines() {
     let now = Instant::now();
@@ -152,6 +153,8 @@
     assert!(!is_quarantined(&cases, 1, 1), "an operator allows it for all callers");
 }
 
+/// Guards against evidence that outlasts its time to live, and against an expired crash that is
+/// merged again.
 #[test]
 fn suspicion_and_quarantine_expire() {
     let now = Instant::now();
@@ -182,6 +185,7 @@
     assert_eq!(cases.suspects().iter().count(), MAX_CASES);
 }
 
+/// Guards against digests of bodies, which may be long, for requests whose head is not suspect.
 #[test]
 fn contains_head_matches_only_suspect_heads() {
     let now = Instant::now();
--- a/crates/jacinthbeam-crash/tests/evidence.rs
+++ b/crates/jacinthbeam-crash/tests/evidence.rs
@@ -176,6 +176,7 @@
     assert_eq!(record.facts.iter().filter(|fact| fact.request == request(0)).count(), 2);
 }
 
+/// Guards against a record that can't be read back, and against other bytes that are read as one.
 #[test]
 fn record_survives_encoding() {
     let (record, _) = record_of(3);
--- a/crates/jacinthbeam-crash/tests/exchange.rs
+++ b/crates/jacinthbeam-crash/tests/exchange.rs
@@ -39,6 +39,7 @@
     facts
 }
 
+/// Guards against facts that are sent back to the host that sent them.
 #[test]
 fn each_fact_is_sent_once_in_both_directions() {
     let now = Instant::now();
@@ -94,6 +95,7 @@
     assert!(knows(&a, 2) && knows(&b, 1));
 }
 
+/// Guards against messages of unlimited size, and against facts beyond the limit that are not sent.
 #[test]
 fn many_facts_are_sent_in_several_messages() {
     let now = Instant::now();
--- a/crates/jacinthbeam-crash/tests/fingerprint.rs
+++ b/crates/jacinthbeam-crash/tests/fingerprint.rs
@@ -7,6 +7,7 @@
     Fingerprint::of(HeadDigest::of(&parts), body.as_bytes())
 }
 
+/// Guards against requests with one fingerprint because their parts are equal when concatenated.
 #[test]
 fn boundaries_of_parts_matter() {
     assert_eq!(of(&["/a", "b"], "c"), of(&["/a", "b"], "c"));
@@ -15,6 +16,7 @@
     assert_ne!(of(&["/a", "b"], "c"), of(&["/a", "b"], "d"));
 }
 
+/// Guards against text of an operator that is parsed as another fingerprint than the one displayed.
 #[test]
 fn text_is_parsed_back() {
     let of = of(&["GET", "/a"], "");
