--- a/crates/jacinthbeam-crash/src/probe.rs
+++ b/crates/jacinthbeam-crash/src/probe.rs
@@ -1,7 +1,8 @@
-//! Which host may send an attempt of a request that is on probation.
+//! Rate limit, across the fleet, for attempts of a request that is on probation.
 //!
-//! The time of day is cut into slots, and in each slot one host of the fleet is drawn, more of them the longer the last crash was ago.
-//! Each lets one attempt a slot through. Clocks that differ, or lists of hosts that do, draw a few more.
+//! Wall clock time is divided into slots. In each slot one host of the fleet is selected by hash,
+//! and more of them the longer ago the last crash is. A selected host admits one attempt per slot.
+//! If the clocks or the host lists of hosts differ, a few more hosts may be selected.
 
 use std::{
     collections::BTreeMap,
@@ -12,30 +13,31 @@
 
 use crate::fingerprint::Fingerprint;
 
-/// Length of a slot: hosts in touch observe a crash within it.
+/// Length of a slot. Connected hosts receive the evidence of a crash within this time.
 pub const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time without a crash after which the number of drawn hosts doubles, and doubles again.
-const DOUBLES_IN: Duration = Duration::from_secs(20);
+/// Each such period without a crash doubles the number of selected hosts.
+const DOUBLING_PERIOD: Duration = Duration::from_secs(20);
 
-/// The place of a host in the list of all hosts.
+/// Position of a host in the sorted list of all hosts.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Rank {
-    /// Hosts before it.
+    /// Number of hosts before it.
     pub index: u32,
-    /// All hosts; 0 if the host is not on its own list.
+    /// Number of all hosts; 0 if the host is not in its own list.
     pub hosts: u32,
 }
 
-/// The probes of one host.
+/// Admission of probes by one host.
 #[derive(Debug, Default)]
 pub struct Prober {
-    /// The slot of the last attempt that was let through.
-    used: BTreeMap<Fingerprint, u128>,
+    /// The slot in which the last attempt of a request was admitted.
+    last_slot: BTreeMap<Fingerprint, u128>,
 }
 
 impl Prober {
-    /// Whether an attempt of the request may be sent now, so long `since` the last crash. It counts as sent.
+    /// Whether an attempt of the request may be sent now, `since` after the last crash. If so, it
+    /// uses up this host's slot.
     pub fn admit(
         &mut self,
         request: Fingerprint,
@@ -45,21 +47,21 @@
     ) -> bool {
         let now = time_of_day.duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
         let slot = now.as_millis() / PROBE_INTERVAL.as_millis();
-        if !is_drawn(request, rank, since, slot) || self.used.get(&request) == Some(&slot) {
+        if !is_selected(request, rank, since, slot) || self.last_slot.get(&request) == Some(&slot) {
             return false;
         }
-        self.used.retain(|_, used| used.abs_diff(slot) < 2);
-        self.used.insert(request, slot);
+        self.last_slot.retain(|_, last| last.abs_diff(slot) < 2);
+        self.last_slot.insert(request, slot);
         true
     }
 }
 
-fn is_drawn(request: Fingerprint, rank: Rank, since: Duration, slot: u128) -> bool {
+fn is_selected(request: Fingerprint, rank: Rank, since: Duration, slot: u128) -> bool {
     if rank.hosts == 0 {
         return false;
     }
-    let drawn = (since.as_secs() / DOUBLES_IN.as_secs()).min(31) as u32;
+    let doublings = (since.as_secs() / DOUBLING_PERIOD.as_secs()).min(31) as u32;
     let first = KeyHash::of(format!("{request} {slot}").as_bytes()).0 % u64::from(rank.hosts);
-    let after = (u64::from(rank.index) + u64::from(rank.hosts) - first) % u64::from(rank.hosts);
-    after < 1 << drawn
+    let distance = (u64::from(rank.index) + u64::from(rank.hosts) - first) % u64::from(rank.hosts);
+    distance < 1 << doublings
 }
--- a/crates/jacinthbeam-crash/src/recent.rs
+++ b/crates/jacinthbeam-crash/src/recent.rs
@@ -1,7 +1,7 @@
-//! Answers of the last seconds, for evidence that arrives after them.
+//! Successful requests of the last seconds, for evidence of crashes that arrives after them.
 //!
-//! A host clears a request that it answers only if it knows that servers have crashed under it. An update that is late finds the
-//! answer here, and the answer counts from when it was given.
+//! A host reports a success only for requests that it knows servers to have crashed under. If it
+//! receives that evidence late, the success is found here and counts from the time of the response.
 
 use std::{
     collections::VecDeque,
@@ -17,46 +17,46 @@
     suspects::Suspects,
 };
 
-/// How long an answer is kept: hosts in touch observe a crash within this time.
+/// How long a success is kept. Connected hosts receive the evidence of a crash within this time.
 pub const RETENTION: Duration = Duration::from_secs(3);
 
-/// Answers that are kept.
-const MOST_ANSWERS: usize = 4096;
+/// Maximum number of successes that are kept.
+const MAX_SUCCESSES: usize = 4096;
 
 #[derive(Debug)]
-struct Answer {
+struct Success {
     head: HeadDigest,
     body: Bytes,
     caller: IpAddr,
     at: Instant,
 }
 
-/// Requests that this host answered lately.
+/// Requests that recently succeeded at this host.
 #[derive(Debug, Default)]
 pub struct RecentSuccesses {
-    of: VecDeque<Answer>,
+    successes: VecDeque<Success>,
 }
 
 impl RecentSuccesses {
-    /// A request of `caller` ran to a good end.
+    /// Adds a successful request of `caller`.
     pub fn add(&mut self, head: HeadDigest, body: Bytes, caller: IpAddr, at: Instant) {
-        let is_old = |answer: &Answer| at.saturating_duration_since(answer.at) >= RETENTION;
-        while self.of.len() >= MOST_ANSWERS || self.of.front().is_some_and(is_old) {
-            self.of.pop_front();
+        let is_old = |success: &Success| at.saturating_duration_since(success.at) >= RETENTION;
+        while self.successes.len() >= MAX_SUCCESSES || self.successes.front().is_some_and(is_old) {
+            self.successes.pop_front();
         }
-        self.of.push_back(Answer { head, body, caller, at });
+        self.successes.push_back(Success { head, body, caller, at });
     }
 
-    /// What these answers say of requests that servers are known to have crashed under.
+    /// Successes of suspect requests, as facts that clear the crashes before them.
     pub fn facts_for(&self, suspects: &Suspects) -> Vec<Fact> {
-        let of_suspect = |answer: &&Answer| suspects.contains_head(answer.head);
-        let facts = self.of.iter().filter(of_suspect).filter_map(|answer| {
-            let request = Fingerprint::of(answer.head, &answer.body);
+        let may_be_suspect = |success: &&Success| suspects.contains_head(success.head);
+        let facts = self.successes.iter().filter(may_be_suspect).filter_map(|success| {
+            let request = Fingerprint::of(success.head, &success.body);
             let suspect = suspects.get(&request)?;
             let counts =
-                answer.at >= suspect.first_crash && suspect.callers.contains(&answer.caller);
-            let outcome = Outcome::Succeeded { caller: answer.caller };
-            counts.then_some(Fact { request, outcome, at: answer.at })
+                success.at >= suspect.first_crash && suspect.callers.contains(&success.caller);
+            let outcome = Outcome::Succeeded { caller: success.caller };
+            counts.then_some(Fact { request, outcome, at: success.at })
         });
         facts.collect()
     }
