--- a/crates/jacinthbeam-host/src/process/control/calls.rs
+++ b/crates/jacinthbeam-host/src/process/control/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to backend servers that grant keys or take them back.
+//! Grant and release calls to backend servers.
 
 use std::{
     cell::Cell,
@@ -23,21 +23,21 @@
     wire::{Granted, Released},
 };
 
-/// Time for the answer to a grant. A server answers in a millisecond or two, and a connection that loses a packet in half a
-/// second; while it is waited for, nothing else is granted to the server.
+/// Timeout of a grant call. A server answers within a millisecond or two, and within half a second if a packet is lost. Calls to one server
+/// are sequential, so no other range is granted to it meanwhile.
 const GRANT_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Time for the answer to a release, which comes when the running requests of the keys have ended. After it the keys wait for
-/// the end of the hold, which is about as long.
+/// Timeout of a release call, which the server answers once the running requests of the keys have ended. After a timeout the keys stay
+/// unavailable until the hold expires, which is about as long.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(4000);
 
-/// Longest body of an answer.
+/// Largest body of a response, in bytes.
 const MAX_RESPONSE_BYTES: usize = 64 << 10;
 
-/// The epoch that this process leads in; calls of an earlier one are not sent any more.
+/// The epoch in which this process leads, `None` if it doesn't lead. Calls of any other epoch are not sent.
 pub(super) type LeadEpoch = Rc<Cell<Option<Epoch>>>;
 
-/// The leadership that a call belongs to.
+/// The leadership under which a call was ordered.
 #[derive(Debug, Clone)]
 pub(super) struct Leadership {
     pub(super) epoch: Epoch,
@@ -51,8 +51,8 @@
     }
 }
 
-/// Connections for grants, one to each server. They are reset when a call is given up: a grant that would arrive after that
-/// could outlast the wait for its end.
+/// Sends grants over one connection per server. A connection is reset when a call on it times out: a grant that arrived later would start
+/// a hold that outlasts the time the grantor waits for.
 #[derive(Debug)]
 pub(super) struct GrantClient {
     wire: Wire,
@@ -66,13 +66,13 @@
         Self { wire, clock, tx, lines: BTreeMap::new() }
     }
 
-    /// Closes connections to servers other than these.
+    /// Closes idle connections to servers other than these.
     pub(super) fn keep_only(&mut self, addrs: &[SocketAddr]) {
         self.lines.retain(|addr, line| addrs.contains(addr) || Rc::strong_count(line) > 1);
     }
 
-    /// Sends grants to one server, one after the other, until `until` and for as long as the leadership lasts, over
-    /// the connection `over`.
+    /// Sends grants to one server, one after the other, while the leadership is current and until the deadline `until`, and only over the
+    /// connection that was open at `over`. The result is sent as [`Event::Granted`].
     pub(super) fn grant(
         &mut self,
         service: ServiceName,
@@ -87,14 +87,14 @@
         let (wire, clock, tx) = (self.wire, self.clock.clone(), self.tx.clone());
         spawn_local(async move {
             let mut round = Round::new();
-            // In another order each time: a round may end early, and must not leave out the same keys again and again.
+            // Shuffled: a round may end early, and must not skip the same ranges every time.
             let mut calls = calls;
             fastrand::shuffle(&mut calls);
             for call in &calls {
                 if !round.is_open(&*clock, &line, over).await {
                     break;
                 }
-                // UpdateRequest right before each call: this process may have been suspended, or replaced, since it was ordered.
+                // Checked right before each call: this process may have been suspended or replaced since the round was ordered.
                 if clock.now() >= until || !leadership.is_current() {
                     round.outcome = Outcome::NotSent;
                     break;
@@ -114,10 +114,10 @@
         });
     }
 
-    /// Takes keys back, over a connection of its own: the answer may take as long as a request.
+    /// Releases a range, over a separate connection: the answer may take as long as a request. The result is sent as [`Event::Released`].
     ///
-    /// A server takes a release under a lower token too. One of a host that was replaced would take keys away that its successor
-    /// has granted, until the next renewal.
+    /// A server accepts a release with a lower token as well. A release from a former leader would therefore revoke keys that its successor
+    /// has granted, until their next renewal, so none is sent without current leadership.
     pub(super) fn release(
         &self,
         service: ServiceName,
@@ -135,7 +135,7 @@
             let answer = line.exchange(req, RELEASE_TIMEOUT).await;
             let handover = match answer.map(|res| (wire.parse_release_response)(&from, &res)) {
                 Ok(Released::Done(handover)) => Ok(handover),
-                // The life that held the keys has ended.
+                // The incarnation that held the keys has ended.
                 Ok(Released::OtherServer) => Ok(None),
                 Ok(Released::Unclear) | Err(_) => Err(NoAnswer),
             };
@@ -148,9 +148,10 @@
     }
 }
 
-/// The connection to one server, and when it was known to be open.
+/// The connection to one server.
 ///
-/// The time names the connection: grants go over one that was open early enough, and a grant and its renewals over the same one.
+/// The time at which it was first known to be open identifies it: grants need a connection that was open early enough, and a grant and its
+/// renewals need the same one.
 #[derive(Debug)]
 struct GrantConnection {
     line: Line,
@@ -162,7 +163,7 @@
         Self { line: Line::new(addr, MAX_RESPONSE_BYTES).resetting(), opened: Cell::new(None) }
     }
 
-    /// Opens a connection if none is open. Returns when the present one was known to be open.
+    /// Connects unless a connection is open. Returns the time that identifies the connection.
     async fn open(&self, clock: &dyn Clock) -> Result<Instant, line::Error> {
         let is_new = self.line.connect_if_closed(GRANT_TIMEOUT).await?;
         let at = self.opened.get().filter(|_| !is_new).unwrap_or_else(|| clock.now());
@@ -171,7 +172,7 @@
     }
 }
 
-/// What came of the calls to one server so far.
+/// Results so far of one round of grants to a server.
 struct Round {
     outcome: Outcome,
     last_call: Option<Instant>,
@@ -180,8 +181,8 @@
     silent: u32,
 }
 
-/// Calls without an answer after which a round ends, if the server answered others. Each takes [`GRANT_TIMEOUT`], in which the
-/// other keys come closer to the end of their hold.
+/// Unanswered calls after which a round ends, if the server answered others. Each costs [`GRANT_TIMEOUT`], while the holds of the other
+/// ranges run out.
 const MAX_UNANSWERED: u32 = 2;
 
 impl Round {
@@ -195,7 +196,7 @@
         }
     }
 
-    /// Whether further calls are of no use: the server is not there, or does not answer now.
+    /// Whether to end the round: another server or connection was found, or too many calls were unanswered.
     fn is_over(&self) -> bool {
         let answers = !self.confirmed.is_empty() || !self.refused.is_empty();
         let most = if answers { MAX_UNANSWERED } else { 1 };
@@ -203,7 +204,7 @@
         is_other || self.silent >= most
     }
 
-    /// Opens a connection if there is none. Returns whether it is the one that the calls are meant for; else the round is over.
+    /// Connects if necessary. Returns whether the connection is the one that the calls are meant for; if not, the round has ended.
     async fn is_open(
         &mut self,
         clock: &dyn Clock,
@@ -221,7 +222,7 @@
         false
     }
 
-    /// Sends one grant.
+    /// Sends one grant and records its result.
     async fn send(
         &mut self,
         wire: Wire,
--- a/crates/jacinthbeam-host/src/process/control/contact.rs
+++ b/crates/jacinthbeam-host/src/process/control/contact.rs
@@ -1,4 +1,4 @@
-//! When this host last heard of the store, and over how many other hosts.
+//! How recent this host's knowledge of the store is, and over how many other hosts it came.
 
 use std::{
     cell::{Cell, RefCell},
@@ -9,75 +9,77 @@
 use super::follow::{MAPS_MAX_STALENESS, OPERATOR_MAX_STALENESS};
 use crate::process::peers::source::MAX_STALENESS;
 
-/// What the store, or hosts that follow it, let this host hear.
+/// Times of the latest contact with the store, directly and through other hosts.
 #[derive(Debug, Default)]
 pub(super) struct StoreContact {
-    /// When the last read of the servers' entries was sent that the store answered.
+    /// When the latest answered read of the servers' entries was sent.
     servers: Cell<Option<Instant>>,
     /// When the store last answered a read of the operator's records.
     operator: Cell<Option<Instant>>,
-    /// When each partition of maps was last read of those that this host reads.
+    /// When the store last answered a read of each map partition that this host reads.
     maps: RefCell<BTreeMap<u32, Instant>>,
-    /// How far another host's news reached at the latest, and the hosts that they had passed, that one included.
-    others: Cell<Option<(Instant, u8)>>,
+    /// The most recent time as of which another host's update was current, and how many hosts it had passed, including that one.
+    via_hosts: Cell<Option<(Instant, u8)>>,
 }
 
 impl StoreContact {
-    pub(super) fn on_servers(&self, asked: Instant) {
-        self.servers.set(self.servers.get().max(Some(asked)));
+    pub(super) fn on_servers(&self, sent_at: Instant) {
+        self.servers.set(self.servers.get().max(Some(sent_at)));
     }
 
     pub(super) fn on_operator(&self, now: Instant) {
         self.operator.set(Some(now));
     }
 
-    /// A read of a partition of maps was answered.
+    /// The store answered a read of a map partition.
     pub(super) fn on_maps(&self, number: u32, now: Instant) {
         self.maps.borrow_mut().insert(number, now);
     }
 
-    /// News of another host, which were true at `at` and had passed `steps` hosts before it.
+    /// An update arrived from another host; it was current as of `at` and had passed `steps` hosts before that one.
     pub(super) fn on_update(&self, at: Option<Instant>, steps: u8) {
         let Some(at) = at else { return };
-        if self.others.get().is_none_or(|(known, _)| known < at) {
-            self.others.set(Some((at, steps.saturating_add(1))));
+        if self.via_hosts.get().is_none_or(|(known, _)| known < at) {
+            self.via_hosts.set(Some((at, steps.saturating_add(1))));
         }
     }
 
     /// When the store last answered a read of the operator's records.
-    pub(super) fn operator(&self) -> Option<Instant> {
+    pub(super) fn operator_as_of(&self) -> Option<Instant> {
         self.operator.get()
     }
 
-    /// Since when there may be something that the store didn't tell this host itself, of the servers, the operator or the owners. Reads for
-    /// the operator and for maps wait, so that their answers may be older.
-    fn by_itself(&self) -> Option<Instant> {
+    /// The time as of which this host's own reads of servers, operator records and maps are all current; `None` before the first ones.
+    ///
+    /// Reads of operator records and maps are long polls, so their answers may be older than [`MAX_STALENESS`] by the difference between
+    /// their own limit and that one.
+    fn direct_as_of(&self) -> Option<Instant> {
         let operator = self.operator.get()? + (OPERATOR_MAX_STALENESS - MAX_STALENESS);
         let maps = self.maps.borrow();
         let maps = maps.values().map(|at| *at + (MAPS_MAX_STALENESS - MAX_STALENESS)).min();
-        let heard = self.servers.get()?.min(operator);
-        Some(maps.map_or(heard, |maps| maps.min(heard)))
+        let direct = self.servers.get()?.min(operator);
+        Some(maps.map_or(direct, |maps| maps.min(direct)))
     }
 
     /// Whether the store answers this host's own reads.
-    pub(super) fn is_answered(&self, now: Instant) -> bool {
-        age(self.by_itself(), now) <= MAX_STALENESS
+    pub(super) fn is_store_answering(&self, now: Instant) -> bool {
+        age(self.direct_as_of(), now) <= MAX_STALENESS
     }
 
-    /// How old what is known is.
+    /// How stale the replica is; `Duration::MAX` if nothing was read yet.
     pub(super) fn age(&self, now: Instant) -> Duration {
-        age(self.at(), now)
+        age(self.as_of(), now)
     }
 
-    /// The moment before which everything is known.
-    pub(super) fn at(&self) -> Option<Instant> {
-        self.by_itself().max(self.others.get().map(|(at, _)| at))
+    /// The time as of which the replica is current, by this host's own reads or another host's update.
+    pub(super) fn as_of(&self) -> Option<Instant> {
+        self.direct_as_of().max(self.via_hosts.get().map(|(at, _)| at))
     }
 
-    /// Hosts that what is known has passed: 0 if the store itself tells it.
+    /// Number of hosts that this host's data has passed: 0 if it reads the store itself, `u8::MAX` if there is no source.
     pub(super) fn steps(&self, now: Instant) -> u8 {
-        match self.others.get() {
-            _ if self.is_answered(now) => 0,
+        match self.via_hosts.get() {
+            _ if self.is_store_answering(now) => 0,
             Some((_, steps)) => steps,
             None => u8::MAX,
         }
--- a/crates/jacinthbeam-host/src/process/control/crashes.rs
+++ b/crates/jacinthbeam-host/src/process/control/crashes.rs
@@ -1,4 +1,4 @@
-//! Evidence of queries of death: observed by this host's own sends, exchanged with other hosts, kept in the store.
+//! Crash evidence against requests (queries of death): observed by this host, exchanged with other hosts, and recorded in the store.
 
 use std::{
     net::SocketAddr,
@@ -13,25 +13,25 @@
 use super::{cross_domain, feed, state::Control, update_client::Topic};
 use crate::process::peers::update::{StateUpdate, UpdateRequest};
 
-/// Least pause between two times that other hosts are told of facts. When a failure domain loses power hundreds of them come
-/// within a second, and each telling is an answer to every host that follows this one.
+/// Shortest interval between two publications of crash facts. When a failure domain loses power, hundreds of facts arrive within a second, and
+/// each publication causes an answer to every host that follows this one.
 const PUBLISH_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Keys of the list of hosts that begin so hold what a host knows of crashes. No host is named so.
+/// Prefix of the keys in the hosts partition under which hosts record crash evidence. No host name starts with it.
 pub(super) const EVIDENCE_PREFIX: &str = "crashes/";
 
-/// Least pause between two records of this host.
+/// Shortest interval between two evidence records of this host.
 const RECORD_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Pauses after a record that was not kept.
+/// Bounds of the backoff after a failed write of a record.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-/// Pause between two looks for what has stood for long enough.
+/// Interval between two checks for expired evidence.
 const EXPIRE_INTERVAL: Duration = Duration::from_secs(1);
 
 impl Control {
-    /// Takes what this host's own sends have shown.
+    /// Adds a fact observed by this host.
     pub(super) fn on_crash(&mut self, fact: Fact) {
         let crashed = match &fact.outcome {
             Outcome::Crashed { server, .. } => Some(server),
@@ -42,7 +42,7 @@
         self.crashes.observe(fact, now);
     }
 
-    /// Takes what the store holds of crashes that a host knew.
+    /// Merges an evidence record read from the store.
     pub(super) fn on_evidence(&mut self, item: &Item) {
         if item.value.is_empty() {
             return;
@@ -58,9 +58,10 @@
         }
     }
 
-    /// Has the store hold what must outlast the memory of all hosts. Hosts that follow this one leave it to it.
+    /// Schedules a write of the evidence that must survive a restart of all hosts. Only hosts that read the store write it, also for those
+    /// that follow them.
     fn record_evidence(&mut self, now: Instant) {
-        // Until the record of an earlier life of this host was read, another one would replace it unread.
+        // A write before the first read would overwrite the record of this host's previous incarnation.
         let may_write = self.has_read_hosts && *self.direct.borrow();
         let is_due = self.crash_sync.recorded.is_none_or(|at| now >= at + RECORD_INTERVAL);
         if !may_write || !is_due {
@@ -73,11 +74,11 @@
         }
     }
 
-    /// What to ask the host at `of`.
-    pub(super) fn question(&self, of: SocketAddr, topic: Topic) -> UpdateRequest {
+    /// The request to send to the host at `of`.
+    pub(super) fn build_request(&self, of: SocketAddr, topic: Topic) -> UpdateRequest {
         let now = self.clock.now();
-        let mut asked = match topic {
-            Topic::All => self.known.update_request(feed::MAX_WAIT),
+        let mut request = match topic {
+            Topic::All => self.replica.update_request(feed::MAX_WAIT),
             Topic::Crashes => UpdateRequest {
                 only_crashes: true,
                 wait: cross_domain::MAX_WAIT,
@@ -86,63 +87,63 @@
         };
         let crashes = self.crashes.question(of, now);
         if crashes.end < self.crashes.end() {
-            asked.wait = Duration::ZERO;
+            request.wait = Duration::ZERO;
         }
-        asked.crashes = Some(crashes);
-        asked
+        request.crashes = Some(crashes);
+        request
     }
 
-    /// What this host knows and the one that asks doesn't.
-    pub(super) fn answer(&mut self, asked: &UpdateRequest) -> StateUpdate {
+    /// What this host has and the requesting host lacks.
+    pub(super) fn answer_request(&mut self, request: &UpdateRequest) -> StateUpdate {
         let now = self.clock.now();
-        let news = match asked.only_crashes {
+        let update = match request.only_crashes {
             true => StateUpdate::default(),
-            false => self.known.update_for(asked, self.contact.age(now), now),
+            false => self.replica.update_for(request, self.contact.age(now), now),
         };
-        let crashes = asked.crashes.as_ref().map(|question| self.crashes.answer(question, now));
+        let crashes = request.crashes.as_ref().map(|question| self.crashes.answer(question, now));
         let (steps, asks_store) = (self.contact.steps(now), *self.direct.borrow());
-        StateUpdate { steps, asks_store, crashes, ..news }
+        StateUpdate { steps, asks_store, crashes, ..update }
     }
 
-    /// Takes what the host at `of` knew of servers that ended.
+    /// Merges crash facts from the host at `of`.
     pub(super) fn on_peer_crashes(&mut self, of: SocketAddr, answer: exchange::Answer) {
         let now = self.clock.now();
         self.crashes.on_answer(of, answer, now);
     }
 
-    /// Makes new facts act, here and at the hosts that follow this one.
+    /// Publishes changed crash evidence to the traffic thread and to hosts that follow this one, at most once in [`PUBLISH_INTERVAL`].
     pub(super) fn publish_crashes(&mut self) {
         let now = self.clock.now();
         self.record_evidence(now);
-        let told = self.crash_sync;
-        let is_due = told.at.is_none_or(|at| now >= at + PUBLISH_INTERVAL);
-        let is_new = told.end != self.crashes.end();
+        let sync = self.crash_sync;
+        let is_due = sync.published.is_none_or(|at| now >= at + PUBLISH_INTERVAL);
+        let is_new = sync.published_end != self.crashes.end();
         if !is_due || !(is_new || self.expire_crashes(now)) {
             return;
         }
-        self.crash_sync.at = Some(now);
-        self.crash_sync.end = self.crashes.end();
+        self.crash_sync.published = Some(now);
+        self.crash_sync.published_end = self.crashes.end();
         let suspects = self.crashes.suspects();
         let refused = suspects.iter().filter(|(_, suspect)| suspect.is_quarantined());
         self.counters.on_suspects(suspects.iter().count(), refused.count());
-        self.known.set_suspects(suspects);
+        self.replica.set_suspects(suspects);
         self.publish();
-        self.to_tell.send_if_modified(|known| {
-            let to_tell = self.crashes.push_end();
-            std::mem::replace(known, to_tell) != to_tell
+        self.push_end.send_if_modified(|known| {
+            let push_end = self.crashes.push_end();
+            std::mem::replace(known, push_end) != push_end
         });
     }
 
     fn expire_crashes(&mut self, now: Instant) -> bool {
-        if self.crash_sync.forgot.is_some_and(|at| now < at + EXPIRE_INTERVAL) {
+        if self.crash_sync.expired.is_some_and(|at| now < at + EXPIRE_INTERVAL) {
             return false;
         }
-        self.crash_sync.forgot = Some(now);
+        self.crash_sync.expired = Some(now);
         self.crashes.expire(now)
     }
 }
 
-/// Writes the newest evidence of a host to the store.
+/// Writes this host's newest evidence to the store.
 pub(super) struct Recorder {
     pub(super) lane: Lane,
     pub(super) to: Partition,
@@ -151,10 +152,10 @@
 }
 
 impl Recorder {
-    /// Writes each change until the store has taken it, or a newer one.
+    /// Writes each change, retrying with backoff until the store has accepted it or a newer one.
     pub(super) async fn run(mut self) {
         let mut backoff = Backoff::new(INITIAL_BACKOFF, MAX_BACKOFF);
-        // An error is the end of the process.
+        // Fails only when the control thread ends.
         while self.evidence.changed().await.is_ok() {
             loop {
                 let call = self.newest();
@@ -172,13 +173,13 @@
     }
 }
 
-/// What other hosts and the store have of the facts, and since when.
+/// Progress of publishing and recording crash evidence.
 #[derive(Debug, Default, Clone, Copy)]
 pub(super) struct SyncState {
-    at: Option<Instant>,
-    end: LogPosition,
-    /// When this host last had something to record.
+    published: Option<Instant>,
+    published_end: LogPosition,
+    /// Time of the latest scheduled record.
     recorded: Option<Instant>,
-    /// When it was last looked for what has stood for long enough.
-    forgot: Option<Instant>,
+    /// Time of the latest check for expired evidence.
+    expired: Option<Instant>,
 }
--- a/crates/jacinthbeam-host/src/process/control/cross_domain.rs
+++ b/crates/jacinthbeam-host/src/process/control/cross_domain.rs
@@ -1,8 +1,8 @@
-//! Exchange of facts about servers that ended, between failure domains.
+//! Exchanges crash facts between failure domains.
 //!
-//! Within a domain they go with the news of the store. Domains read the store each for itself, so the host that reads it for its domain
-//! asks the first host of each other domain too. That one asks back, as the reader of its own domain: while either of them hears the
-//! other, the facts of both sides meet.
+//! Within a domain, crash facts travel with the updates of the store's data. Domains read the store independently, so the host that reads it
+//! for its domain also polls the first host of every other domain. That host polls back as the reader of its own domain, and a poll carries
+//! facts both ways, so one working direction is enough.
 
 use std::{collections::BTreeSet, rc::Rc, time::Duration};
 
@@ -15,14 +15,14 @@
     order::{Neighbour, Neighbours},
 };
 
-/// Longest wait for facts at a host of another domain. A connection that a cut has silenced is given up so long after the last answer; with the
-/// time to connect, what was seen on either side is known on both within three seconds of the end of a cut.
+/// Longest wait of a long poll at a host of another domain. A connection silenced by a network partition is abandoned this long after the last
+/// answer; including the time to reconnect, both sides have each other's facts within three seconds after the partition heals.
 pub(super) const MAX_WAIT: Duration = Duration::from_millis(2000);
 
-/// Pause before another host of a domain is asked, if one gave no answer.
+/// Pause before polling another host of a domain after a failed poll.
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
-/// What the task needs of the control thread.
+/// What the task needs from the control thread.
 #[derive(Debug, Clone)]
 pub(super) struct CrossDomain {
     pub(super) client: UpdateClient,
@@ -32,52 +32,52 @@
     pub(super) direct: Rc<watch::Sender<bool>>,
 }
 
-/// Starts to exchange facts with each failure domain that becomes known. Runs for ever.
-pub(super) async fn run(mut cx: CrossDomain) {
+/// Starts an exchange with every other failure domain that becomes known, until the control thread ends.
+pub(super) async fn run(mut task: CrossDomain) {
     let mut domains = BTreeSet::new();
     loop {
-        let known = cx.neighbours.borrow_and_update().clone().unwrap_or_default();
+        let known = task.neighbours.borrow_and_update().clone().unwrap_or_default();
         for domain in known.far.into_keys() {
             if domains.insert(domain.clone()) {
-                spawn_local(exchange(cx.clone(), domain));
+                spawn_local(exchange(task.clone(), domain));
             }
         }
-        if cx.neighbours.changed().await.is_err() {
+        if task.neighbours.changed().await.is_err() {
             return;
         }
     }
 }
 
-/// Asks the hosts of one domain, the first of them that answers, for as long as this host reads the store.
-async fn exchange(cx: CrossDomain, domain: FailureDomain) {
-    let mut direct = cx.direct.subscribe();
+/// Polls a host of one domain at a time while this host reads the store itself; moves on to another one when a poll fails.
+async fn exchange(task: CrossDomain, domain: FailureDomain) {
+    let mut direct = task.direct.subscribe();
     for turn in 0.. {
         if direct.wait_for(|direct| *direct).await.is_err() {
             return;
         }
-        if let Some(host) = pick(&cx, &domain, turn) {
-            ask_on(&cx, &host).await;
+        if let Some(host) = pick_host(&task, &domain, turn) {
+            poll_host(&task, &host).await;
         }
         tokio::time::sleep(RETRY_PAUSE).await;
     }
 }
 
-/// The hosts of a domain take their turns, the first of them every other time.
-fn pick(cx: &CrossDomain, domain: &FailureDomain, turn: usize) -> Option<Neighbour> {
-    let neighbours = cx.neighbours.borrow();
+/// Picks the host to poll: the first of the domain on even turns, the others in rotation on odd ones.
+fn pick_host(task: &CrossDomain, domain: &FailureDomain, turn: usize) -> Option<Neighbour> {
+    let neighbours = task.neighbours.borrow();
     let hosts = neighbours.as_ref()?.far.get(domain)?;
     let others = hosts.len().saturating_sub(1).max(1);
     let at = if turn.is_multiple_of(2) { 0 } else { 1 + turn / 2 % others };
     hosts.get(at).or(hosts.first()).cloned()
 }
 
-async fn ask_on(cx: &CrossDomain, (host, addr): &Neighbour) {
+async fn poll_host(task: &CrossDomain, (host, addr): &Neighbour) {
     let why = match Link::open(*addr).await {
         Ok(mut link) => loop {
-            if !*cx.direct.borrow() {
+            if !*task.direct.borrow() {
                 return;
             }
-            if let Err(why) = cx.client.ask(&mut link, *addr, Topic::Crashes).await {
+            if let Err(why) = task.client.ask(&mut link, *addr, Topic::Crashes).await {
                 break why;
             }
         },
--- a/crates/jacinthbeam-host/src/process/control/duty.rs
+++ b/crates/jacinthbeam-host/src/process/control/duty.rs
@@ -1,4 +1,4 @@
-//! The duties to grant, dealt out by a group of the store.
+//! Membership in the store's group that assigns duties: which map partitions' grantors run on which host.
 
 use std::{
     cell::Cell,
@@ -17,36 +17,36 @@
 };
 use crate::process::membership::{DutyLease, Event, Membership, Next, Notice, lease::LEASE};
 
-/// Pause between two words of a host: three in a lease, so that one lost answer costs nothing.
+/// Interval between two joins: three in a lease, so that one lost answer does not end it.
 const JOIN_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Name of the group.
+/// Name of the group in the store.
 const GROUP: &str = "grantors";
 
-/// What the duty task is told.
+/// What the control thread requests of the membership task.
 #[derive(Debug, Default)]
 pub(super) struct DutyRequest {
-    /// The host takes no duty until then.
+    /// The host stays out of the group until then.
     pub(super) pause_until: Cell<Option<Instant>>,
-    /// The host leaves duties to hosts with more processor.
+    /// The host stays out of the group as a standby for hosts with more processor.
     pub(super) stands_by: Cell<bool>,
-    /// The host takes no duty any more.
+    /// The host leaves the group for good.
     pub(super) leave: Cell<bool>,
 }
 
-/// The group as one host sees it.
+/// What the membership task needs.
 pub(super) struct Group {
     pub(super) store: Client,
-    /// Its partitions are the duties.
+    /// Topic whose partitions are the duties.
     pub(super) topic: &'static str,
-    /// Name of this life of the process.
+    /// Name of this incarnation of the process in the group.
     pub(super) member: String,
     pub(super) clock: Arc<dyn Clock>,
     pub(super) duty_request: Rc<DutyRequest>,
     pub(super) tx: Tx,
 }
 
-/// Stays a member of the group, and tells which duties fall to this host.
+/// Keeps this host in the group and sends the duties assigned to it to the control thread, until it has left for good.
 pub(super) async fn run(group: Group) {
     let lane = group.store.lane();
     let mut membership = Membership::default();
@@ -56,10 +56,10 @@
         match membership.next() {
             Next::Nothing => {}
             Next::Join(generation) => {
-                let asked = group.clock.now();
+                let sent_at = group.clock.now();
                 let event = match group.join(&lane, generation).await {
                     Some(generation) => {
-                        lease.renew(asked);
+                        lease.renew(sent_at);
                         Event::Joined(generation)
                     }
                     None => Event::Failed,
@@ -71,7 +71,7 @@
         }
         if lease.expire(group.clock.now()) {
             tracing::info!(part = "duty", event = "lapsed");
-            group.tell(BTreeSet::new());
+            group.report(BTreeSet::new());
         }
         match membership.take_notice() {
             Some(Notice::Lost) => tracing::warn!(part = "duty", event = "lost"),
@@ -90,7 +90,7 @@
         Event::Due { paused, leaving: self.duty_request.leave.get() }
     }
 
-    /// Joins or stays. Returns the generation, if the store answered.
+    /// Joins the group or renews the membership. Returns the group's generation, or `None` if the call failed.
     async fn join(&self, lane: &Lane, generation: u64) -> Option<u64> {
         let join = Call::Join {
             group: GROUP.into(),
@@ -102,14 +102,14 @@
         match lane.call(&join).await {
             Ok(Reply::Member { generation, shares }) => {
                 let duties = shares.iter().map(|share| share.partition.number).collect();
-                self.tell(duties);
+                self.report(duties);
                 Some(generation)
             }
             Ok(_) => {
                 tracing::warn!(part = "duty", event = "wrong-answer");
                 None
             }
-            // A duty that was had stays until its lease has run out. A host that leads goes on: the right to grant is proved elsewhere.
+            // Duties stay assigned until the lease expires. Leadership is unaffected: the right to grant is fenced separately.
             Err(err) => {
                 tracing::debug!(part = "duty", event = "not-joined", error = %err);
                 None
@@ -117,7 +117,7 @@
         }
     }
 
-    fn tell(&self, duties: BTreeSet<u32>) {
+    fn report(&self, duties: BTreeSet<u32>) {
         if self.tx.send(Input::Duties(duties)).is_err() {
             tracing::debug!(part = "duty", event = "stopped-meanwhile");
         }
@@ -132,9 +132,9 @@
 }
 
 impl Control {
-    /// Whether this host takes duties, or leaves them to others, as the hosts and the words of granting hosts say now.
+    /// Decides from the known hosts and the heartbeats of grantors whether this host is a standby.
     pub(super) fn update_standby(&mut self) {
-        let fleet = self.known.hosts().map(|(_, entry)| (&entry.domain, entry.processor));
+        let fleet = self.replica.hosts().map(|(_, entry)| (&entry.domain, entry.processor));
         let stands_by = self.standby.stands_by(self.clock.now(), self.settings.processor, fleet);
         if self.duty_request.stands_by.replace(stands_by) != stands_by {
             tracing::info!(part = "duty", event = "stands-by", stands_by = %stands_by, processor = %self.settings.processor);
--- a/crates/jacinthbeam-host/src/process/control/feed.rs
+++ b/crates/jacinthbeam-host/src/process/control/feed.rs
@@ -1,7 +1,6 @@
-//! Taking the news of the store from where [`source`](crate::process::peers::source) says: other hosts, or the store.
+//! Obtains the store's data from the source that [`source`] selects: another host, or the store itself.
 //!
-//! A host that starts while the store turns it away knows no other, since the list of hosts is in the store, and asks those that its
-//! settings name.
+//! A host that starts while the store refuses it can't read the list of hosts, and polls the seed hosts in its settings.
 
 use std::{
     net::SocketAddr,
@@ -21,45 +20,45 @@
     source::{self, Action, NoAnswer, SourceSelector},
 };
 
-/// Longest wait for news at another host; its answer without news shows that it is there, and how fresh it is.
+/// Longest wait of a long poll at another host; an answer without changes still shows that the host is alive and how stale its data is.
 pub(super) const MAX_WAIT: Duration = Duration::from_millis(700);
 
-/// Pause of a host that reads the store itself before it looks again whether another could do it.
+/// Interval at which a host that reads the store itself checks whether it could follow another host.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(1000);
 
-/// The same while the store gives it no answers.
+/// The same while the store doesn't answer this host.
 const RECHECK_INTERVAL_UNANSWERED: Duration = Duration::from_millis(250);
 
-/// What the task needs of the control thread.
+/// What the task needs from the control thread.
 #[derive(Clone)]
 pub(super) struct Feed {
     pub(super) client: UpdateClient,
     /// `None` until the list of hosts is known.
     pub(super) neighbours: watch::Receiver<Option<Neighbours>>,
-    /// Hosts that are asked while none is known.
+    /// Hosts to poll while no other host is known.
     pub(super) seeds: Vec<SocketAddr>,
     /// Whether this host reads the store itself.
     pub(super) direct: Rc<watch::Sender<bool>>,
     pub(super) contact: Rc<StoreContact>,
 }
 
-/// Chooses sources for ever.
+/// Selects a source and takes data from it, forever.
 pub(super) async fn run(mut feed: Feed) {
     let mut sources = SourceSelector::default();
     loop {
         let known = feed.neighbours.borrow_and_update().clone();
         if !feed.seeds.is_empty() && source::should_ask_seeds(known.as_ref(), feed.age()) {
-            feed.ask_seed().await;
+            feed.poll_seed().await;
             continue;
         }
         let Some(neighbours) = known else {
             feed.pause(RECHECK_INTERVAL).await;
             continue;
         };
-        let lost = *feed.direct.borrow() && !feed.reads_store();
+        let lost = *feed.direct.borrow() && !feed.is_store_answering();
         let pick = |addrs: &[SocketAddr]| fastrand::choice(addrs).copied();
         match sources.next(feed.now(), &neighbours, lost, pick) {
-            Action::Ask(host) => ask_on(&feed, &mut sources, &host).await,
+            Action::Ask(host) => follow_host(&feed, &mut sources, &host).await,
             Action::Wait(pause) => {
                 if lost {
                     set_direct(&feed, false);
@@ -68,13 +67,16 @@
             }
             Action::ReadStore => {
                 set_direct(&feed, true);
-                let pause =
-                    if feed.reads_store() { RECHECK_INTERVAL } else { RECHECK_INTERVAL_UNANSWERED };
+                let pause = if feed.is_store_answering() {
+                    RECHECK_INTERVAL
+                } else {
+                    RECHECK_INTERVAL_UNANSWERED
+                };
                 feed.pause(pause).await;
             }
             Action::AskForHelp(addr) => {
                 set_direct(&feed, true);
-                ask_for_help(&feed, addr).await;
+                poll_for_help(&feed, addr).await;
                 sources.on_no_help(addr, feed.now());
             }
         }
@@ -86,29 +88,29 @@
         self.client.clock.now()
     }
 
-    /// Whether this host itself reads the store, and is answered.
-    fn reads_store(&self) -> bool {
-        *self.direct.borrow() && self.contact.is_answered(self.now())
+    /// Whether this host reads the store itself and the store answers.
+    fn is_store_answering(&self) -> bool {
+        *self.direct.borrow() && self.contact.is_store_answering(self.now())
     }
 
     fn age(&self) -> Duration {
         self.contact.age(self.now())
     }
 
-    /// Asks a host that the settings name, and reads the store as soon as that answers.
-    async fn ask_seed(&mut self) {
+    /// Polls a seed host until the store answers this one.
+    async fn poll_seed(&mut self) {
         if self.neighbours.borrow().is_some() {
             set_direct(self, true);
         }
         if let Some(addr) = fastrand::choice(&self.seeds).copied() {
-            ask_for_help(self, addr).await;
+            poll_for_help(self, addr).await;
         }
         self.pause(RECHECK_INTERVAL_UNANSWERED).await;
     }
 
-    /// Waits, but not on when other hosts become known.
+    /// Waits for `pause`, or until the known hosts change.
     async fn pause(&mut self, pause: Duration) {
-        // An error is the end of the process.
+        // Fails only when the control thread ends.
         let _ = tokio::time::timeout(pause, self.neighbours.changed()).await;
     }
 }
@@ -120,14 +122,14 @@
     }
 }
 
-/// Asks a host before this one, for as long as its answers are fresh.
-async fn ask_on(feed: &Feed, sources: &mut SourceSelector, (host, addr): &Neighbour) {
+/// Follows a host that precedes this one: polls it for as long as its answers are fresh.
+async fn follow_host(feed: &Feed, sources: &mut SourceSelector, (host, addr): &Neighbour) {
     let mut follows = false;
     let no_answer = match Link::open(*addr).await {
         Ok(mut link) => loop {
             match feed.client.ask(&mut link, *addr, Topic::All).await {
                 Ok(answer) => {
-                    let (reads, now) = (feed.reads_store(), feed.now());
+                    let (reads, now) = (feed.is_store_answering(), feed.now());
                     if !sources.on_answer(host, answer, reads, now) {
                         if follows {
                             tracing::info!(part = "feed", event = "passed-over", host = %host, age_ms = %answer.age.as_millis(), steps = %answer.steps, asks_store = %answer.asks_store);
@@ -154,19 +156,19 @@
     }
 }
 
-/// Asks any host, for as long as the store doesn't answer this one and the other knows more.
-async fn ask_for_help(feed: &Feed, addr: SocketAddr) {
+/// Polls a host for as long as the store doesn't answer this one and the other's data is fresher.
+async fn poll_for_help(feed: &Feed, addr: SocketAddr) {
     let mut link = match Link::open(addr).await {
         Ok(link) => link,
         Err(err) => {
             return tracing::info!(part = "feed", event = "not-reached", asked = %addr, error = %err);
         }
     };
-    let mut helped = false;
-    while !feed.reads_store() {
+    let mut has_helped = false;
+    while !feed.is_store_answering() {
         match feed.client.ask(&mut link, addr, Topic::All).await {
             Ok(answer) if answer.helps() => {
-                if !std::mem::replace(&mut helped, true) {
+                if !std::mem::replace(&mut has_helped, true) {
                     tracing::info!(part = "feed", event = "helped", asked = %addr, steps = %answer.steps);
                 }
             }
--- a/crates/jacinthbeam-host/src/process/control/gates.rs
+++ b/crates/jacinthbeam-host/src/process/control/gates.rs
@@ -1,4 +1,4 @@
-//! Datagrams of load, and the word to all hosts about owners that are asked for too much.
+//! Datagrams from other hosts, and admission limits (gates) for overloaded owners, which granting hosts broadcast.
 
 use std::{
     collections::BTreeMap,
@@ -11,15 +11,14 @@
 use super::state::Control;
 use crate::process::peers::load::Message;
 
-/// Pause between two words to all hosts about owners that are asked for too much. What they say rests on reports that come as
-/// often.
+/// Interval between two broadcasts of gates; the load reports that they are computed from arrive as often.
 const GATES_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Longest pause between two words of a granting host, also if it has none about owners: they are its sign of life for hosts that leave
-/// the duty to those with more processor.
+/// Longest interval between two broadcasts of a granting host, which sends an empty one if no owner is overloaded: they are the heartbeats
+/// that standby hosts watch.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1000);
 
-/// Such a word stands for this long, so that a lost one, or two, change nothing.
+/// Lifetime of a received gate. Long enough that the loss of one or two datagrams changes nothing.
 const GATES_TTL: Duration = Duration::from_millis(800);
 
 impl Control {
@@ -56,7 +55,7 @@
         });
     }
 
-    /// What to tell all hosts of a service's owners: nothing unless this host grants its keys.
+    /// The gates of a service to broadcast now, or an empty heartbeat if one is due. Nothing unless this host leads the service.
     fn gate_messages(
         &mut self,
         service: &ServiceName,
@@ -76,7 +75,7 @@
         }
     }
 
-    /// Tells all hosts which owners are asked for too much.
+    /// Drops expired gates, and broadcasts and applies the gates of the services that this host leads.
     pub(super) fn publish_gates(&mut self) {
         let now = self.clock.now();
         self.gates.send_if_modified(|known| {
@@ -105,7 +104,7 @@
     ) -> BTreeMap<ServerId, Gate> {
         let Some(objective) = self.objective(service) else { return BTreeMap::new() };
         let Some(granting) = self.granting.get(service) else { return BTreeMap::new() };
-        let view = GrantView { now, servers: self.known.servers(), servers_stable: true };
+        let view = GrantView { now, servers: self.replica.servers(), servers_stable: true };
         let gates = granting.grantor.gates(view, objective);
         if !gates.is_empty() {
             tracing::debug!(part = "admission", event = "gates", service = %service, gates = ?gates);
@@ -113,9 +112,9 @@
         gates
     }
 
-    /// The objective of the least urgent requests of a service: they are the first to be refused.
+    /// The latency objective of a service's least urgent route, whose requests are refused first.
     pub(super) fn objective(&self, service: &ServiceName) -> Option<Duration> {
-        let cfg = self.known.config()?;
+        let cfg = self.replica.config()?;
         let routes =
             cfg.routes.iter().filter(|route| route.target.services().any(|s| s == service));
         routes.max_by_key(|route| route.priority).map(|route| route.objective)
@@ -123,8 +122,8 @@
 
     pub(super) fn send_to_hosts(&self, message: &Message) {
         let bytes = message.to_bytes();
-        for (host, entry) in self.known.hosts().filter(|(host, _)| **host != self.me.host) {
-            // A full send buffer loses the message, as the network may.
+        for (host, entry) in self.replica.hosts().filter(|(host, _)| **host != self.me.host) {
+            // A datagram that doesn't fit the send buffer is lost like one that the network drops; the next broadcast replaces it.
             if let Err(err) = self.socket.try_send_to(&bytes, entry.addr) {
                 tracing::debug!(part = "peers", event = "gates-not-sent", host = %host, error = ?err);
             }
--- a/crates/jacinthbeam-host/src/process/control/granting.rs
+++ b/crates/jacinthbeam-host/src/process/control/granting.rs
@@ -1,4 +1,4 @@
-//! This host's part in granting keys: its duties, the maps that it reads and writes, the orders of its grantors.
+//! Runs the grantors of this host: feeds them duties, ownership maps and time, and executes the actions that they return.
 
 use std::{
     collections::BTreeSet,
@@ -28,34 +28,34 @@
 };
 use crate::process::{peers::load::Message, replica::Changed};
 
-/// The list of backend servers counts as settled when it has not changed for this long: they all start within a second.
+/// The list of backend servers counts as stable once it has been unchanged for this long: all servers of a deployment start within a second.
 const SERVERS_STABLE_AFTER: Duration = Duration::from_millis(1500);
 
-/// Kept between the last renewal of a process that grants on after its last request, and its forced end: the word to the others, and the
-/// last calls to the store.
+/// Time reserved before the forced stop of a process that keeps granting after its last request: for the broadcast that it has stopped, and for
+/// the last calls to the store.
 const FORCED_STOP_MARGIN: Duration = Duration::from_millis(400);
 
-/// Pause between two notes for the metrics.
+/// Interval between two recordings of ages and owners in the metrics.
 const METRICS_INTERVAL: Duration = Duration::from_secs(1);
 
 impl Control {
     pub(super) fn start_keyed_services(&mut self) {
-        let Some(cfg) = self.known.config().cloned() else { return };
+        let Some(cfg) = self.replica.config().cloned() else { return };
         let keyed = cfg.services.iter().filter(|(_, service)| service.keyed);
         for (name, _) in keyed {
             self.start_keyed_service(name);
         }
     }
 
-    /// Begins to follow the map of a keyed service, and to take part in granting its keys.
+    /// Starts following the ownership map of a keyed service and creates its grantor. Does nothing for a service that has one.
     pub(super) fn start_keyed_service(&mut self, name: &ServiceName) {
         let number = self.partition_of(name);
         if !self.partitions.contains_key(&number) {
             let partition = Partition { topic: self.wire.store_layout.maps.into(), number };
-            let (gate, is_open) = watch::channel(*self.direct.borrow());
-            self.partitions.insert(number, MapPartition::new(self.store.lane(), gate));
-            self.follow(partition, MAPS_MAX_WAIT, Duration::ZERO, is_open, move |read| {
-                Input::Maps { partition: number, asked: read.asked, changes: read.changes }
+            let (enabled, is_enabled) = watch::channel(*self.direct.borrow());
+            self.partitions.insert(number, MapPartition::new(self.store.lane(), enabled));
+            self.follow(partition, MAPS_MAX_WAIT, Duration::ZERO, is_enabled, move |read| {
+                Input::Maps { partition: number, sent_at: read.sent_at, changes: read.changes }
             });
         }
         if !std::mem::replace(&mut self.has_joined, true) {
@@ -78,7 +78,7 @@
         }
     }
 
-    /// The partition of a service's map, and of the duty to grant its keys.
+    /// Number of the partition that holds a service's ownership map, and of the duty to grant its keys.
     pub(super) fn partition_of(&self, service: &ServiceName) -> u32 {
         let hash = KeyHash::of(service.as_str().as_bytes());
         (hash.0 % u64::from(self.settings.partitions.max(1))) as u32
@@ -97,40 +97,40 @@
         }
     }
 
-    pub(super) fn on_maps(&mut self, number: u32, asked: Instant, changes: Changes) {
+    pub(super) fn on_maps(&mut self, number: u32, sent_at: Instant, changes: Changes) {
         let Some(partition) = self.partitions.get_mut(&number) else { return };
         self.contact.on_maps(number, self.clock.now());
         let newer = partition.take(changes);
         let mut changed = Changed::default();
         for (service, map) in newer {
-            changed.maps |= self.known.apply_map(service, map);
+            changed.maps |= self.replica.apply_map(service, map);
         }
         self.on_changed(changed);
-        self.notify_grantors(number, asked);
+        self.notify_grantors(number, sent_at);
     }
 
-    /// Tells the grantors of a partition what its newest records are.
-    pub(super) fn notify_grantors(&mut self, number: u32, asked: Instant) {
+    /// Passes the newest maps of a partition, as of a read sent at `sent_at`, to the grantors of its services.
+    pub(super) fn notify_grantors(&mut self, number: u32, sent_at: Instant) {
         let services: Vec<ServiceName> = self.granting.keys().cloned().collect();
         for service in services {
             if self.partition_of(&service) == number {
-                self.notify_grantor(&service, number, asked);
+                self.notify_grantor(&service, number, sent_at);
             }
         }
     }
 
-    pub(super) fn notify_grantor(&mut self, service: &ServiceName, number: u32, asked: Instant) {
+    pub(super) fn notify_grantor(&mut self, service: &ServiceName, number: u32, sent_at: Instant) {
         let partition = self.partitions.get(&number).filter(|partition| partition.read);
         let Some(partition) = partition else { return };
         let map = partition.newest(service).cloned();
-        self.step(service, Event::Read { sent_at: asked, map });
+        self.step(service, Event::Read { sent_at, map });
     }
 
     pub(super) fn on_map_written(
         &mut self,
         service: &ServiceName,
         map: Map,
-        asked: Instant,
+        sent_at: Instant,
         at: Offset,
         result: Result<Offset, Error>,
     ) {
@@ -141,18 +141,18 @@
                 if let Some(partition) = self.partitions.get_mut(&number) {
                     partition.take_own(service.clone(), at, end, map.clone());
                 }
-                self.step(service, Event::Recorded { sent_at: asked });
-                let moved = self.known.map(service).map_or(0, |known| map.moved_since(known));
+                self.step(service, Event::Recorded { sent_at });
+                let moved = self.replica.map(service).map_or(0, |known| map.moved_since(known));
                 self.counters.on_moved(service, moved);
-                let maps = self.known.apply_map(service.clone(), map);
+                let maps = self.replica.apply_map(service.clone(), map);
                 self.on_changed(Changed { maps, ..Changed::default() });
             }
             Err(err) => {
                 tracing::info!(part = "maps", event = "not-recorded", service = %service, at = %at, error = %err);
                 self.step(service, Event::NotRecorded);
                 if err == Error::Conflict {
-                    // There is something newer. The read that waits for it may be one whose answer is lost, and would come to an
-                    // end only after seconds, in which no claim of this host can succeed.
+                    // The partition has a newer record. The pending long poll may have lost its answer and would time out only after
+                    // seconds, during which every write of this host would conflict; so read now.
                     self.read_maps(self.partition_of(service));
                 }
             }
@@ -170,7 +170,7 @@
         self.enable_map_reads();
     }
 
-    /// Notes for the metrics how old what is known is, and who owns keys. Once a second is enough for whoever reads them.
+    /// Records in the metrics how stale the replica is and how many keys have no owner, at most once in [`METRICS_INTERVAL`].
     fn record_owner_metrics(&mut self) {
         let now = self.clock.now();
         let since = self.metrics_recorded.map(|at| now.saturating_duration_since(at));
@@ -179,16 +179,16 @@
         }
         self.metrics_recorded = Some(now);
         let age = |at: Option<Instant>| at.map(|at| now.saturating_duration_since(at));
-        let told = [
-            ("store", self.contact.at()),
-            ("operator", self.contact.operator()),
-            ("config", self.known.config_as_of()),
+        let ages = [
+            ("store", self.contact.as_of()),
+            ("operator", self.contact.operator_as_of()),
+            ("config", self.replica.config_as_of()),
         ];
-        for (what, at) in told {
+        for (what, at) in ages {
             age(at).into_iter().for_each(|age| self.counters.on_known(what, age));
         }
         for (service, granting) in &self.granting {
-            if let Some(map) = self.known.map(service) {
+            if let Some(map) = self.replica.map(service) {
                 let since = since.unwrap_or_default();
                 self.counters.on_owners(service, map.unowned_keys(), since);
             }
@@ -198,7 +198,8 @@
         }
     }
 
-    /// A partition of maps is read by hosts that read the store for others, and by those that may have to write it.
+    /// Enables reading of the map partitions that this host needs: all of them if it reads the store for its failure domain, otherwise those
+    /// that it may have to write.
     pub(super) fn enable_map_reads(&self) {
         let direct = *self.direct.borrow();
         for (number, partition) in &self.partitions {
@@ -206,17 +207,19 @@
                 granting.grantor.leads() && self.partition_of(service) == *number
             };
             let wanted = direct || self.duties.contains(number) || self.granting.iter().any(leads);
-            partition.gate.send_if_modified(|open| std::mem::replace(open, wanted) != wanted);
+            partition
+                .enabled
+                .send_if_modified(|enabled| std::mem::replace(enabled, wanted) != wanted);
         }
     }
 
     pub(super) fn step(&mut self, service: &ServiceName, event: Event) {
         let now = self.clock.now();
-        let unchanged = self.known.servers_changed().map(|at| now.saturating_duration_since(at));
+        let unchanged = self.replica.servers_changed().map(|at| now.saturating_duration_since(at));
         let servers_stable = unchanged.is_some_and(|since| since >= SERVERS_STABLE_AFTER);
         let Some(granting) = self.granting.get_mut(service) else { return };
         let led = granting.grantor.leads();
-        let view = GrantView { now, servers: self.known.servers(), servers_stable };
+        let view = GrantView { now, servers: self.replica.servers(), servers_stable };
         let actions = granting.grantor.step(view, event);
         let leads = granting.grantor.leads();
         let epoch = granting.grantor.map().map(|map| map.epoch);
@@ -232,7 +235,7 @@
         }
     }
 
-    /// The present leadership of a service's keys, if it is this process's.
+    /// The leadership that this process holds for a service now; `None` if it doesn't lead.
     fn leadership(&self, service: &ServiceName) -> Option<Leadership> {
         let leads = self.granting.get(service)?.leads.clone();
         let epoch = leads.get()?;
@@ -256,7 +259,7 @@
                 let leader = self.me.clone();
                 let service = service.clone();
                 let message = Message::Stopped { service, leader, epoch, others_left };
-                // Told again at the next tick.
+                // The grantor repeats the action at the next tick.
                 if let Err(err) = self.socket.try_send_to(&message.to_bytes(), to.addr) {
                     tracing::debug!(part = "grant", event = "not-told", host = %to.host, error = ?err);
                 }
@@ -271,24 +274,24 @@
         }
     }
 
-    /// Tells all hosts that this one grants the keys of a service no more. Each is told twice, since datagrams are lost now and then; one
-    /// that hears neither waits as for a host that was lost.
+    /// Tells all hosts that this one has stopped granting the keys of a service. Each datagram is sent twice, since some are lost; a host that
+    /// receives neither waits as long as it does for a crashed host.
     fn broadcast_stopped(&self, service: &ServiceName, epoch: Epoch, others_left: Duration) {
         let leader = self.me.clone();
         let message = Message::Stopped { service: service.clone(), leader, epoch, others_left };
         let bytes = message.to_bytes();
         tracing::info!(part = "grant", event = "stopped", service = %service, epoch = %epoch, others_left_ms = %others_left.as_millis());
-        for (host, entry) in self.known.hosts().chain(self.known.hosts()) {
+        for (host, entry) in self.replica.hosts().chain(self.replica.hosts()) {
             if let Err(err) = self.socket.try_send_to(&bytes, entry.addr) {
                 tracing::debug!(part = "grant", event = "not-told", host = %host, error = ?err);
             }
         }
     }
 
-    /// Whether a process that is about to stop still grants keys, and may stay for it.
+    /// Whether a stopping process still leads a service and has time left before its forced stop.
     ///
-    /// That is so while the store is away: nobody could take over. Any other time the grantor has said goodbye before the last request
-    /// was answered.
+    /// That happens only while the store is unreachable, when no other host can take over. Otherwise the grantor has given up leadership
+    /// before the last request is answered.
     pub(super) fn must_keep_granting(&self) -> bool {
         let stay = self.settings.stop_within.saturating_sub(FORCED_STOP_MARGIN);
         let may_stay = self.stopping.is_some_and(|since| self.clock.now() < since + stay);
@@ -303,20 +306,20 @@
         let to = Partition { topic: self.wire.store_layout.maps.into(), number };
         let (clock, tx) = (self.clock.clone(), self.tx.clone());
         spawn_local(async move {
-            let asked = clock.now();
+            let sent_at = clock.now();
             let call = Call::Put { to, key: service.to_string(), value, only_at: Some(at) };
             let result = match lane.call(&call).await {
                 Ok(Reply::Kept(end)) => Ok(end),
                 Ok(_) => Err(Error::Malformed("not the answer to an append".into())),
                 Err(err) => Err(err),
             };
-            if tx.send(Input::MapWritten { service, map, asked, at, result }).is_err() {
+            if tx.send(Input::MapWritten { service, map, sent_at, at, result }).is_err() {
                 tracing::debug!(part = "maps", event = "stopped-meanwhile");
             }
         });
     }
 
-    /// Reads at once what is new in a partition of maps. If there is nothing, that confirms what is known.
+    /// Reads a partition of maps without waiting for new records. An empty result confirms that the known maps are the newest.
     pub(super) fn read_maps(&self, number: u32) {
         let Some(partition) = self.partitions.get(&number) else { return };
         let lane = partition.lane.clone();
@@ -324,14 +327,14 @@
         let mut follower = Follower::after(from, partition.end);
         let (clock, tx) = (self.clock.clone(), self.tx.clone());
         spawn_local(async move {
-            let asked = clock.now();
+            let sent_at = clock.now();
             let changes = match follower.look(&lane, Duration::ZERO).await {
                 Ok(changes) => changes,
                 Err(err) => {
                     return tracing::info!(part = "maps", event = "not-read", partition = %follower.partition(), error = %err);
                 }
             };
-            if tx.send(Input::Maps { partition: number, asked, changes }).is_err() {
+            if tx.send(Input::Maps { partition: number, sent_at, changes }).is_err() {
                 tracing::debug!(part = "maps", event = "stopped-meanwhile");
             }
         });
--- a/crates/jacinthbeam-host/src/process/control/input.rs
+++ b/crates/jacinthbeam-host/src/process/control/input.rs
@@ -1,4 +1,4 @@
-//! Everything that changes what the control thread knows.
+//! The inputs of the control thread: everything that changes its state.
 
 use std::{collections::BTreeSet, net::SocketAddr, sync::Arc, time::Instant};
 
@@ -17,7 +17,7 @@
     },
 };
 
-/// Where tasks send what they found.
+/// Sends inputs to the control thread.
 #[derive(Debug, Clone)]
 pub(super) struct Tx {
     pub(super) clock: Arc<dyn Clock>,
@@ -29,14 +29,14 @@
 pub(super) struct Ended;
 
 impl Tx {
-    /// Sends an input, which waits from now on.
+    /// Sends an input and notes the time, from which its wait counts.
     pub(super) fn send(&self, input: Input) -> Result<(), Ended> {
         self.to.send(Waiting { input, since: self.clock.now() }).map_err(|_| Ended)
     }
 }
 
 impl Input {
-    /// What it is to the order in which inputs are taken.
+    /// The kind, which decides the order in which inputs are handled.
     pub(super) fn kind(&self) -> InputKind {
         match self {
             Self::Operator(..)
@@ -59,81 +59,81 @@
     }
 }
 
-/// One thing that has happened.
+/// One input of the control thread.
 #[derive(Debug)]
 pub(super) enum Input {
-    /// Newer records of the operator: there were no others before this moment.
+    /// Newer records of the operator, complete as of this time.
     Operator(Instant, Changes),
-    /// Newer entries of backend servers, by a read that was sent then.
+    /// Newer entries of backend servers, and when the read was sent.
     Servers(Instant, Changes),
     /// Newer entries of hosts.
     Hosts(Changes),
-    /// Newer ownership maps in a partition.
+    /// Newer ownership maps of a partition.
     Maps {
         /// Number of the partition.
         partition: u32,
         /// When the read was sent.
-        asked: Instant,
+        sent_at: Instant,
         /// The records.
         changes: Changes,
     },
-    /// What another host knew.
+    /// An update from another host.
     PeerUpdate {
-        /// Where that host is.
+        /// Address of that host.
         of: SocketAddr,
-        /// What it was asked for.
+        /// What was requested.
         topic: Topic,
-        /// It knew it then, or later.
+        /// Lower bound on when that host answered.
         answered: Instant,
-        /// What it knew.
-        news: Box<StateUpdate>,
+        /// The update.
+        update: Box<StateUpdate>,
     },
-    /// A task is about to ask another host.
+    /// A task is about to request an update from another host.
     BuildRequest {
-        /// Where that host is.
+        /// Address of that host.
         of: SocketAddr,
-        /// What it is asked for.
+        /// What to request.
         topic: Topic,
-        /// Where the question goes.
+        /// Receives the request to send.
         reply: oneshot::Sender<UpdateRequest>,
     },
-    /// Another host asks for news.
+    /// Another host requests an update.
     PeerRequest {
-        /// What it knows.
-        asked: UpdateRequest,
-        /// Where the news go.
+        /// The request.
+        request: UpdateRequest,
+        /// Receives the update, which may be empty.
         reply: oneshot::Sender<StateUpdate>,
     },
-    /// The duties that fall to this host.
+    /// The duties that are assigned to this host.
     Duties(BTreeSet<u32>),
     /// An append of an ownership map has ended.
     MapWritten {
-        /// Of this service.
+        /// Its service.
         service: ServiceName,
         /// The map, as appended.
         map: Map,
-        /// When it was sent.
-        asked: Instant,
-        /// The end of the partition that it was conditional on.
+        /// When the append was sent.
+        sent_at: Instant,
+        /// The end of the partition that the append was conditional on.
         at: Offset,
-        /// The end after it.
+        /// The new end of the partition.
         result: Result<Offset, Error>,
     },
     /// A round of grants or a release has ended.
     Granted {
-        /// Of this service.
+        /// Its service.
         service: ServiceName,
-        /// How.
+        /// The result.
         event: Event,
     },
-    /// Counts of a host, or gates of one that grants.
+    /// A datagram from another host.
     Datagram(Message),
-    /// A server has ended under a request, or a request is cleared of that.
+    /// A server crashed under a request, or a request was cleared.
     Crash(Fact),
     /// Time has passed.
     Tick,
-    /// Somebody asked for the state, as text.
+    /// An operator requests the state as text.
     Dump(oneshot::Sender<String>),
-    /// The process is about to stop.
+    /// The process has begun to stop.
     Stop,
 }
--- a/crates/jacinthbeam-host/src/process/control/learn.rs
+++ b/crates/jacinthbeam-host/src/process/control/learn.rs
@@ -1,4 +1,4 @@
-//! What the store says, as it changes what this host knows.
+//! Applies records of the store and updates from other hosts to the replica, and makes the changes take effect.
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Instant};
 
@@ -26,11 +26,11 @@
             self.on_config(item);
         }
         self.on_evacuations(changes);
-        self.known.mark_config_current(as_of.min(now));
+        self.replica.mark_config_current(as_of.min(now));
         self.publish_freshness();
     }
 
-    /// Takes the operator's records of evacuations.
+    /// Applies the operator's evacuation records.
     fn on_evacuations(&mut self, changes: &Changes) {
         let now = self.clock.now();
         let prefix = self.wire.store_layout.evacuation_prefix;
@@ -42,25 +42,25 @@
                 Ok(domain) => {
                     let evacuated = !item.value.is_empty();
                     listed.extend(evacuated.then(|| domain.clone()));
-                    changed |= self.known.apply_evacuation(domain, item.offset, evacuated, now);
+                    changed |= self.replica.apply_evacuation(domain, item.offset, evacuated, now);
                 }
                 Err(err) => self.note_unreadable("evacuation", item, &err.to_string()),
             }
         }
         if changes.whole {
-            changed |= self.known.retain_evacuations(&listed, changes.end, now);
+            changed |= self.replica.retain_evacuations(&listed, changes.end, now);
         }
         if changed {
-            self.known.on_operator_changed(now);
+            self.replica.on_operator_changed(now);
             self.on_changed(Changed { servers: true, ..Changed::default() });
         }
     }
 
-    /// Tells the traffic thread how far what is known reaches: after what is known itself.
+    /// Publishes to the traffic thread how fresh the view is. Call it after the view itself is published.
     pub(super) fn publish_freshness(&self) {
         self.freshness.send_replace(Freshness {
-            config: self.known.config_as_of(),
-            servers: self.known.servers_as_of(),
+            config: self.replica.config_as_of(),
+            servers: self.replica.servers_as_of(),
             updated: Some(self.clock.now()),
         });
     }
@@ -68,9 +68,9 @@
     fn on_config(&mut self, item: &Item) {
         match (self.wire.parse_config)(&item.value) {
             Ok(cfg) => {
-                let config = self.known.apply_config(cfg);
+                let config = self.replica.apply_config(cfg);
                 if config {
-                    self.known.on_operator_changed(self.clock.now());
+                    self.replica.on_operator_changed(self.clock.now());
                 }
                 self.on_changed(Changed { config, servers: config, ..Changed::default() });
             }
@@ -80,26 +80,26 @@
         }
     }
 
-    pub(super) fn on_servers(&mut self, asked: Instant, changes: Changes) {
+    pub(super) fn on_servers(&mut self, sent_at: Instant, changes: Changes) {
         let now = self.clock.now();
-        self.contact.on_servers(asked);
-        // What this read shows first, the store took after the last one was sent.
-        let bound = Leaving::after(self.known.servers_as_of());
+        self.contact.on_servers(sent_at);
+        // The store accepted what is new in this read after the previous read was sent.
+        let bound = Leaving::after(self.replica.servers_as_of());
         let mut changed = false;
         for item in &changes.items {
             changed |= self.on_server(item, bound);
         }
         if changes.whole {
             let listed: Vec<&str> = changes.items.iter().map(|item| item.key.as_str()).collect();
-            changed |= self.known.remove_unlisted(&listed, changes.end, bound);
+            changed |= self.replica.remove_unlisted(&listed, changes.end, bound);
         }
-        self.known.mark_servers_current(changes.end, Some(asked), changed, now);
+        self.replica.mark_servers_current(changes.end, Some(sent_at), changed, now);
         self.on_changed(Changed { servers: changed, ..Changed::default() });
         self.publish_freshness();
     }
 
-    /// Takes the entry of a server. One that another writer left and that can't be read names no server to use, whatever stood there
-    /// before: the store keeps only the newest, and a server that lives writes its own within a heartbeat.
+    /// Applies the entry of a server. An unreadable entry counts as a server that has left, whatever the entry before it said: the store keeps
+    /// only the newest record of a key, and a live server overwrites it with its next heartbeat.
     fn on_server(&mut self, item: &Item, bound: Leaving) -> bool {
         let name = match item.key.parse::<ServerName>() {
             Ok(name) => name,
@@ -109,7 +109,7 @@
             }
         };
         if item.value.is_empty() {
-            return self.known.apply_server(name, item.offset, None, bound);
+            return self.replica.apply_server(name, item.offset, None, bound);
         }
         let server = match (self.wire.parse_server)(&item.key, &item.value) {
             Ok(server) => Some(server),
@@ -118,7 +118,7 @@
                 None
             }
         };
-        self.known.apply_server(name, item.offset, server, bound)
+        self.replica.apply_server(name, item.offset, server, bound)
     }
 
     pub(super) fn note_unreadable(&mut self, what: &'static str, item: &Item, why: &str) {
@@ -136,39 +136,41 @@
                 continue;
             }
             match (item.key.parse::<HostId>(), HostEntry::from_bytes(&item.value)) {
-                (Ok(host), Ok(entry)) => changed |= self.known.apply_host(host, item.offset, entry),
+                (Ok(host), Ok(entry)) => {
+                    changed |= self.replica.apply_host(host, item.offset, entry)
+                }
                 (Err(err), _) => self.note_unreadable("host", item, &err.to_string()),
                 (_, Err(err)) => self.note_unreadable("host", item, &err.to_string()),
             }
         }
         self.has_read_hosts = true;
-        self.known.mark_hosts_current(changes.end);
+        self.replica.mark_hosts_current(changes.end);
         self.on_changed(Changed { hosts: changed, ..Changed::default() });
-        // The first host of all finds an empty list, and that is news too.
-        self.order_hosts();
+        // Also without a change: the first host of a fleet reads an empty list, which the feed must know of.
+        self.publish_neighbours();
     }
 
-    /// Takes what the host at `of` knew at `answered`, or later.
+    /// Applies what the host at `of` knew at `answered` or later.
     pub(super) fn on_update(
         &mut self,
         of: SocketAddr,
         topic: Topic,
         answered: Instant,
-        mut news: StateUpdate,
+        mut update: StateUpdate,
     ) {
-        if let Some(crashes) = news.crashes.take() {
+        if let Some(crashes) = update.crashes.take() {
             self.on_peer_crashes(of, crashes);
         }
         if topic == Topic::Crashes {
             return;
         }
-        let told = answered.checked_sub(news.age);
-        let steps = news.steps;
+        let as_of = answered.checked_sub(update.age);
+        let steps = update.steps;
         let services: Vec<ServiceName> =
-            news.maps.iter().map(|(service, _)| service.clone()).collect();
-        let changed = self.known.apply_update(news, answered);
-        // Only now: a host that asks in between would take what was known before for as new as these.
-        self.contact.on_update(told, steps);
+            update.maps.iter().map(|(service, _)| service.clone()).collect();
+        let changed = self.replica.apply_update(update, answered);
+        // Only after the update is applied: a request answered in between would present old data as fresh.
+        self.contact.on_update(as_of, steps);
         self.on_changed(changed);
         self.publish_freshness();
         for service in services {
@@ -176,7 +178,7 @@
         }
     }
 
-    /// Makes what is known act.
+    /// Makes changes take effect: publishes the view, and starts or informs what depends on them.
     pub(super) fn on_changed(&mut self, changed: Changed) {
         if !changed.any() {
             return;
@@ -186,7 +188,7 @@
         }
         self.publish();
         if changed.hosts {
-            self.order_hosts();
+            self.publish_neighbours();
         }
         if changed.config {
             self.start_keyed_services();
@@ -196,27 +198,27 @@
         }
     }
 
-    /// Makes what is known act on requests.
+    /// Publishes the current view to the traffic thread.
     pub(super) fn publish(&mut self) {
         let cold = self.cold_servers();
-        let mut view = self.known.view();
+        let mut view = self.replica.view();
         view.cold = Arc::new(cold);
-        view.subset_position = self.known.place(&self.me.host);
-        view.rank = self.known.rank(&self.me.host);
+        view.subset_position = self.replica.place(&self.me.host);
+        view.rank = self.replica.rank(&self.me.host);
         self.counters.evacuated.record(view.evacuated.len() as u64, &[]);
         self.counters.cold.record(view.cold.len() as u64, &[]);
         self.view.send_replace(Arc::new(view));
     }
 
-    /// Cold servers, and this host's part in what they get: that of the hosts of their own failure domain, so that a cut between domains
-    /// changes nothing of it.
+    /// Cold servers, and this host's share of the requests that they may get. The shares are divided among the hosts of a server's own failure
+    /// domain, so that a network partition between domains doesn't change them.
     fn cold_servers(&mut self) -> BTreeMap<ServerId, ColdServer> {
-        let (bounds, drawn) =
+        let (bounds, assigned) =
             (self.settings.slow_start, std::mem::take(&mut self.cold_assignments));
-        for (server, rate, until) in self.known.cold() {
+        for (server, rate, until) in self.replica.cold() {
             let share = Share::of(rate, &bounds);
-            let is_sender = drawn.get(&server.id).map_or_else(
-                || self.known.is_sender(&self.me.host, server, share.senders),
+            let is_sender = assigned.get(&server.id).map_or_else(
+                || self.replica.is_sender(&self.me.host, server, share.senders),
                 |cold| cold.spacing.is_some(),
             );
             let spacing = is_sender.then_some(share.spacing);
@@ -225,18 +227,19 @@
         self.cold_assignments.clone()
     }
 
-    /// A host that grants looks whether others have heard of a successor of its. For any other the map says nothing that it acts on here.
+    /// Passes a map received from another host to the grantor if this host leads the service, so that it learns of a successor. Other hosts
+    /// need it only in the view.
     fn on_peer_map(&mut self, service: &ServiceName) {
         let leads = self.granting.get(service).is_some_and(|granting| granting.grantor.leads());
-        let map = self.known.map(service).filter(|_| leads).cloned();
+        let map = self.replica.map(service).filter(|_| leads).cloned();
         if let Some(map) = map {
             self.step(service, Event::PeerMap(map));
         }
     }
 
-    /// Tells the feed which hosts there are.
-    fn order_hosts(&self) {
-        let neighbours = Neighbours::of(&self.me.host, &self.entry(), self.known.hosts());
+    /// Publishes the other hosts, in their order, to the tasks that poll them.
+    fn publish_neighbours(&self) {
+        let neighbours = Neighbours::of(&self.me.host, &self.entry(), self.replica.hosts());
         self.neighbours.send_if_modified(|known| {
             let changed = known.as_ref() != Some(&neighbours);
             *known = Some(neighbours);
--- a/crates/jacinthbeam-host/src/process/control/maps.rs
+++ b/crates/jacinthbeam-host/src/process/control/maps.rs
@@ -1,4 +1,4 @@
-//! The partitions of the store that hold ownership maps, as far as this host writes them.
+//! The partitions of the store that hold ownership maps, as read by this host itself.
 
 use std::{collections::BTreeMap, rc::Rc};
 
@@ -7,32 +7,32 @@
 use jacinthbeam_types::prelude::*;
 use tokio::sync::watch;
 
-/// One partition that this host reads itself, since it may have to write it.
+/// A map partition as this host has read it, including what it needs for conditional appends.
 #[derive(Debug)]
 pub(super) struct MapPartition {
-    /// Everything before this offset is known.
+    /// All records before this offset are known.
     pub(super) end: Offset,
-    /// Whether it was read at all.
+    /// Whether it was read at least once.
     pub(super) read: bool,
     /// Offset and map of each service's newest record.
     newest: BTreeMap<ServiceName, (Offset, Map)>,
     /// Connection for appends and checks, one call at a time.
     pub(super) lane: Rc<Lane>,
-    /// Whether it is options now.
-    pub(super) gate: watch::Sender<bool>,
+    /// Whether the follower task reads it now.
+    pub(super) enabled: watch::Sender<bool>,
 }
 
 impl MapPartition {
-    pub(super) fn new(lane: Lane, gate: watch::Sender<bool>) -> Self {
+    pub(super) fn new(lane: Lane, enabled: watch::Sender<bool>) -> Self {
         let (end, newest) = (Offset(0), BTreeMap::new());
-        Self { end, read: false, newest, lane: Rc::new(lane), gate }
+        Self { end, read: false, newest, lane: Rc::new(lane), enabled }
     }
 
     pub(super) fn newest(&self, service: &ServiceName) -> Option<&Map> {
         self.newest.get(service).map(|(_, map)| map)
     }
 
-    /// Takes what was read. Returns the maps that are newer.
+    /// Applies records read from the store. Returns the maps that are newer than the known ones.
     pub(super) fn take(&mut self, changes: Changes) -> Vec<(ServiceName, Map)> {
         self.read = true;
         self.end = self.end.max(changes.end);
@@ -55,7 +55,7 @@
         newer
     }
 
-    /// Takes a record of this host's own that is kept at `at`.
+    /// Applies a record that this host wrote itself at offset `at`.
     pub(super) fn take_own(&mut self, service: ServiceName, at: Offset, end: Offset, map: Map) {
         self.end = self.end.max(end);
         self.put(service, at, map);
--- a/crates/jacinthbeam-host/src/process/control/mod.rs
+++ b/crates/jacinthbeam-host/src/process/control/mod.rs
@@ -1,7 +1,7 @@
-//! The control thread: what this host knows, and its part in granting keys.
+//! The control thread: holds this host's replica of the store's data and runs its grantors.
 //!
-//! All state is in one [`Control`], changed by one [`Input`] at a time. Everything that waits (reads of the store, calls to
-//! backend servers) runs in tasks that send an input when they are done.
+//! All state is in one [`Control`], which handles one [`Input`] at a time. Everything that waits (reads of the store, calls to backend
+//! servers) runs in tasks that send their results as inputs.
 
 mod calls;
 mod contact;
@@ -72,25 +72,25 @@
     pub(super) freshness: watch::Sender<Freshness>,
     pub(super) gates: watch::Sender<Gates>,
     pub(super) phase: watch::Receiver<Phase>,
-    /// What the traffic thread sees of servers that ended.
+    /// Crash facts observed by the traffic thread.
     pub(super) crashes: mpsc::UnboundedReceiver<Fact>,
-    /// Ends when the traffic thread has answered its last request.
+    /// Resolves when the traffic thread has answered its last request.
     pub(super) served: oneshot::Receiver<()>,
 }
 
-/// Pause between two looks at what time alone changes.
+/// Interval between ticks, which drive everything that depends on time alone.
 const TICK: Duration = Duration::from_millis(100);
 
-/// Time for the last calls to the store after the last request.
+/// Time for the final calls to the store after the last request.
 const FINAL_CALLS_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// The sockets of the thread.
+/// The thread's sockets.
 pub(super) struct Sockets {
     pub(super) ready: TcpListener,
     pub(super) metrics: TcpListener,
-    /// For reports of load.
+    /// For datagrams between hosts.
     pub(super) reports: UdpSocket,
-    /// For hosts that ask for news.
+    /// For other hosts' update requests.
     pub(super) news: TcpListener,
 }
 
@@ -123,10 +123,10 @@
                 Some(input) => enqueue(&mut control, &mut inbox, input),
                 None => break,
             },
-            // An error is the end: the sender is dropped.
+            // Resolves with an error when the sender is dropped, which means the same.
             _ = &mut served, if !is_served => is_served = true,
-            // Readers of the store and of other hosts share this thread. Without it a host that has much to grant would not come to hear
-            // of anything while inputs wait.
+            // The tasks that read the store and other hosts run on this thread. Without this yield, a host with a long backlog of grants
+            // would receive nothing while inputs wait.
             () = tokio::task::yield_now(), if !inbox.is_empty() => {}
         }
         while let Ok(input) = rx.try_recv() {
@@ -142,14 +142,14 @@
     tracing::info!(part = "process", event = "stop");
 }
 
-/// Lets an input wait for its turn.
+/// Queues an input; counts a load report that was dropped for it.
 fn enqueue(control: &mut Control, inbox: &mut Inbox<Input>, input: Waiting<Input>) {
     if inbox.push(input) {
         control.counters.reports_left_out.add(1, &[]);
     }
 }
 
-/// Takes the inputs that are next.
+/// Handles the next batch of inputs.
 fn process_batch(control: &mut Control, inbox: &mut Inbox<Input>) {
     for Waiting { input, since } in inbox.next_batch() {
         control.record_wait(&input, since);
@@ -159,18 +159,18 @@
 }
 
 async fn serve_news(listener: TcpListener, tx: Tx, changes: watch::Receiver<Arc<View>>) {
-    let find = move |asked: UpdateRequest| {
+    let find = move |request: UpdateRequest| {
         let (tx, changes) = (tx.clone(), changes.clone());
-        let most = if asked.only_crashes { cross_domain::MAX_WAIT } else { feed::MAX_WAIT };
-        let wait = asked.wait.min(most);
-        let asked = RefCell::new(asked);
+        let max_wait = if request.only_crashes { cross_domain::MAX_WAIT } else { feed::MAX_WAIT };
+        let wait = request.wait.min(max_wait);
+        let request = RefCell::new(request);
         async move {
             let look = async || {
-                let asked_now = asked.borrow().clone();
-                let news = look(&tx, &asked_now).await;
-                // The age of its facts holds at the arrival of the question, and they are taken.
-                asked.borrow_mut().crashes.iter_mut().for_each(|question| question.facts.clear());
-                news
+                let request_now = request.borrow().clone();
+                let update = request_update(&tx, &request_now).await;
+                // The facts in the request are merged now, and their ages are relative to its arrival: don't merge them again.
+                request.borrow_mut().crashes.iter_mut().for_each(|question| question.facts.clear());
+                update
             };
             peers::long_poll::long_poll(look, changes, wait, MAX_STALENESS).await
         }
@@ -178,12 +178,12 @@
     peers::serve::run(listener, find).await;
 }
 
-/// What this host knows and the other doesn't, at this moment.
-async fn look(tx: &Tx, asked: &UpdateRequest) -> StateUpdate {
-    let (reply, news) = oneshot::channel();
+/// Requests from the control thread what this host has and the requesting host lacks.
+async fn request_update(tx: &Tx, request: &UpdateRequest) -> StateUpdate {
+    let (reply, update) = oneshot::channel();
     let nothing = || StateUpdate { age: Duration::MAX, ..StateUpdate::default() };
-    match tx.send(Input::PeerRequest { asked: asked.clone(), reply }) {
-        Ok(()) => news.await.unwrap_or_else(|_| nothing()),
+    match tx.send(Input::PeerRequest { request: request.clone(), reply }) {
+        Ok(()) => update.await.unwrap_or_else(|_| nothing()),
         Err(_) => nothing(),
     }
 }
@@ -225,10 +225,10 @@
     });
 }
 
-/// What the operators' port serves.
+/// Body of the 404 answer on the operators' port.
 const PAGES: &str = "pages: /metrics, /status, /dump; POST /let-through/FINGERPRINT";
 
-/// Clears a request of the servers that ended under it, here and at all hosts. Returns what to say.
+/// Clears a request of its crashes, at this host and through it at all others. Returns the answer to the operator.
 fn let_through(tx: &Tx, request: &str, now: Instant) -> String {
     let Ok(request) = request.parse::<Fingerprint>() else {
         return format!("refused: {}", fingerprint::ParseError);
@@ -240,7 +240,7 @@
     }
 }
 
-/// Everything that the control thread knows.
+/// The whole state of the control thread as text.
 async fn dump(tx: Tx) -> String {
     let (reply, text) = oneshot::channel();
     let asked = tx.send(Input::Dump(reply)).is_ok();
@@ -266,7 +266,7 @@
     }
 }
 
-/// Takes what the traffic thread sees of servers that ended.
+/// Forwards crash facts from the traffic thread as inputs.
 async fn forward_crashes(mut crashes: mpsc::UnboundedReceiver<Fact>, tx: Tx) {
     while let Some(fact) = crashes.recv().await {
         if tx.send(Input::Crash(fact)).is_err() {
@@ -283,7 +283,7 @@
     }
 }
 
-/// Takes datagrams of other hosts.
+/// Receives datagrams from other hosts and sends them on as inputs.
 async fn receive_datagrams(socket: Rc<tokio::net::UdpSocket>, tx: Tx) {
     let mut buf = [0; peers::load::LONGEST * 2];
     loop {
--- a/crates/jacinthbeam-host/src/process/control/registration.rs
+++ b/crates/jacinthbeam-host/src/process/control/registration.rs
@@ -1,4 +1,4 @@
-//! A host's entry in the list of hosts, which others find it by.
+//! Registers this host in the list of hosts, by which other hosts find it.
 
 use std::time::Duration;
 
@@ -13,41 +13,41 @@
 use super::input::{Input, Tx};
 use crate::process::peers::{HostEntry, order};
 
-/// Pauses after failed reads of the list. A host that can't read it knows nobody else to ask, and all of a fleet may be in that place.
+/// Bounds of the backoff after failed reads of the list. A host without the list has no other source, and a whole fleet may be in that state.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(250);
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-/// First pause after an entry that was not kept.
+/// First pause after a failed write of the entry.
 const INITIAL_WRITE_BACKOFF: Duration = Duration::from_millis(200);
 
-/// Time in which all hosts that start together have put their entries, and some more for calls that take longer.
+/// Time within which all hosts that start together have written their entries, with a margin for slow calls.
 const REGISTRATION_WINDOW: Duration = Duration::from_millis(400);
 
-/// What the task needs.
+/// What the registration task needs.
 pub(super) struct Registration {
     pub(super) lane: Lane,
     /// The list of hosts.
     pub(super) list: Partition,
     pub(super) host: HostId,
-    /// What is to stand there.
+    /// This host's entry.
     pub(super) entry: HostEntry,
     pub(super) tx: Tx,
 }
 
-/// Reads the list of hosts once, and puts this host's entry there unless it is.
+/// Reads the list of hosts, writes this host's entry unless it is listed already, and sends the list to the control thread.
 ///
-/// That is one read for each host that starts, and a write for those that are new. New ones look for others only when all that start
-/// with them have put their entries, and one that had found nobody before it in its failure domain reads once more: it would read the whole
-/// store else, as would each that comes later and before it in the order.
+/// This costs one read per starting host, and one write per new one. A new host waits until all that start with it have registered. If its
+/// first read listed no host before it in the order of its failure domain, it then reads the list once more; otherwise it would read the
+/// whole store itself, as would every host registered later that precedes it in the order.
 pub(super) async fn run(registration: Registration) {
     let listed = registration.read().await;
     if order::has(&registration.host, &registration.entry, &listed) {
-        return registration.tell(listed);
+        return registration.report(listed);
     }
-    registration.put().await;
+    registration.write_entry().await;
     tokio::time::sleep(REGISTRATION_WINDOW).await;
     let is_first = order::is_first(&registration.host, &registration.entry, &listed);
-    registration.tell(if is_first { registration.read().await } else { listed });
+    registration.report(if is_first { registration.read().await } else { listed });
 }
 
 impl Registration {
@@ -64,14 +64,14 @@
         }
     }
 
-    fn tell(&self, listed: Changes) {
+    fn report(&self, listed: Changes) {
         if self.tx.send(Input::Hosts(listed)).is_err() {
             tracing::debug!(part = "hosts", event = "stopped-meanwhile");
         }
     }
 
-    /// Says in the store where this host is, until that is kept.
-    async fn put(&self) {
+    /// Writes this host's entry, retrying with backoff until the store has accepted it.
+    async fn write_entry(&self) {
         let mut backoff = Backoff::new(INITIAL_WRITE_BACKOFF, RESIGN_COOLDOWN);
         let value = Bytes::from(self.entry.to_bytes());
         let (to, key) = (self.list.clone(), self.host.to_string());
--- a/crates/jacinthbeam-host/src/process/control/state.rs
+++ b/crates/jacinthbeam-host/src/process/control/state.rs
@@ -1,4 +1,4 @@
-//! What the control thread does about each input.
+//! The state of the control thread, and the dispatch of its inputs.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -47,12 +47,12 @@
     version::{ColdServer, Freshness, View},
 };
 
-/// A grantor and what goes with it.
+/// The grantor of one service and the state beside it.
 #[derive(Debug)]
 pub(super) struct Granting {
     pub(super) grantor: Grantor,
     pub(super) leads: LeadEpoch,
-    /// When this host last told the others that it grants.
+    /// When this host last broadcast gates or a heartbeat for the service.
     pub(super) told: Option<Instant>,
 }
 
@@ -65,51 +65,51 @@
     pub(super) counters: Arc<Counters>,
     pub(super) me: Leader,
     pub(super) view: watch::Sender<Arc<View>>,
-    /// How far the view reaches.
+    /// How fresh the view is.
     pub(super) freshness: watch::Sender<Freshness>,
     pub(super) gates: watch::Sender<Gates>,
-    /// When gates were last told.
+    /// When gates were last published.
     pub(super) gates_published: Option<Instant>,
-    /// When ages and owners were last metrics_recorded for the metrics.
+    /// When ages and owners were last recorded in the metrics.
     pub(super) metrics_recorded: Option<Instant>,
-    /// Datagrams to other hosts go out here.
+    /// Sends datagrams to other hosts.
     pub(super) socket: Rc<UdpSocket>,
     pub(super) tx: Tx,
     pub(super) store: Client,
     pub(super) grant_client: GrantClient,
-    pub(super) known: StoreReplica,
-    /// Cold servers, and whether this host is drawn as a sender of each among the hosts that it knows.
+    pub(super) replica: StoreReplica,
+    /// Cold servers, and whether this host is selected as a sender to each among the known hosts.
     pub(super) cold_assignments: BTreeMap<ServerId, ColdServer>,
-    /// Evidence of requests that crash servers.
+    /// Crash evidence against requests.
     pub(super) crashes: Exchange,
-    /// What other hosts and the store have of it.
+    /// Progress of publishing and recording it.
     pub(super) crash_sync: crashes::SyncState,
-    /// What the store has to hold of these facts.
+    /// The evidence record that the store should hold.
     pub(super) evidence: watch::Sender<Bytes>,
-    /// Whether the list of hosts was read from the store in this life, and the evidence beside it.
+    /// Whether this process has read the list of hosts from the store, and the evidence in the same partition.
     pub(super) has_read_hosts: bool,
-    /// How far other hosts have to be told without waiting for the next question.
-    pub(super) to_tell: watch::Sender<LogPosition>,
-    /// When this host last heard of the store, by itself or through others.
+    /// LogPosition up to which crash facts are to be sent to other hosts without waiting for the next request.
+    pub(super) push_end: watch::Sender<LogPosition>,
+    /// How recent this host's knowledge of the store is.
     pub(super) contact: Rc<StoreContact>,
-    /// Whether this host asks the store itself.
+    /// Whether this host reads the store itself.
     pub(super) direct: Rc<watch::Sender<bool>>,
     /// `None` until the list of hosts is known.
     pub(super) neighbours: watch::Sender<Option<Neighbours>>,
     pub(super) duties: BTreeSet<u32>,
     pub(super) duty_request: Rc<duty::DutyRequest>,
-    /// Whether this host takes duties, or leaves them to hosts with more processor.
+    /// Decides whether this host leaves duties to hosts with more processor.
     pub(super) standby: Standby,
     pub(super) has_joined: bool,
     pub(super) partitions: BTreeMap<u32, MapPartition>,
     pub(super) granting: BTreeMap<ServiceName, Granting>,
-    /// Services of which keys were released since their grantors last looked at everything.
+    /// Services with keys released in this batch of inputs, whose grantors need a tick.
     pub(super) released: BTreeSet<ServiceName>,
-    /// When the word came that the process is about to stop.
+    /// When the process began to stop.
     pub(super) stopping: Option<Instant>,
-    /// Whether the store answers this host.
+    /// Whether the store answers this host's reads.
     pub(super) reach: Rc<StoreReachability>,
-    /// Records of the store that can't be read.
+    /// Unreadable records that were logged.
     pub(super) unreadable: Unreadable,
 }
 
@@ -135,13 +135,13 @@
             metrics_recorded: None,
             socket,
             tx,
-            known: StoreReplica::default(),
+            replica: StoreReplica::default(),
             cold_assignments: BTreeMap::new(),
             crashes: Exchange::new(me.host.clone(), incarnation),
             crash_sync: crashes::SyncState::default(),
             evidence: watch::channel(Bytes::new()).0,
             has_read_hosts: false,
-            to_tell: watch::channel(LogPosition::default()).0,
+            push_end: watch::channel(LogPosition::default()).0,
             contact: Rc::default(),
             direct: Rc::new(watch::channel(false).0),
             neighbours: watch::channel(None).0,
@@ -157,19 +157,23 @@
         }
     }
 
-    /// Starts to follow the store, or hosts that do.
+    /// Starts the tasks that read the store or poll other hosts, and that register this host.
     pub(super) fn start_tasks(&mut self) {
         let store_layout = self.wire.store_layout;
-        let gate = self.direct.subscribe();
+        let enabled = self.direct.subscribe();
         let once = Duration::ZERO;
-        self.follow((store_layout.operator)(), OPERATOR_MAX_WAIT, once, gate.clone(), |read| {
+        self.follow((store_layout.operator)(), OPERATOR_MAX_WAIT, once, enabled.clone(), |read| {
             Input::Operator(read.as_of(), read.changes)
         });
-        self.follow((store_layout.servers)(), once, SERVERS_READ_INTERVAL, gate.clone(), |read| {
-            Input::Servers(read.asked, read.changes)
-        });
+        self.follow(
+            (store_layout.servers)(),
+            once,
+            SERVERS_READ_INTERVAL,
+            enabled.clone(),
+            |read| Input::Servers(read.sent_at, read.changes),
+        );
         let hosts = Partition { topic: store_layout.hosts.into(), number: 0 };
-        self.follow(hosts.clone(), HOSTS_MAX_WAIT, HOSTS_READ_INTERVAL, gate, |read| {
+        self.follow(hosts.clone(), HOSTS_MAX_WAIT, HOSTS_READ_INTERVAL, enabled, |read| {
             Input::Hosts(read.changes)
         });
         spawn_local(registration::run(Registration {
@@ -188,7 +192,7 @@
         spawn_local(recorder.run());
         let client = UpdateClient {
             clock: self.clock.clone(),
-            to_tell: self.to_tell.subscribe(),
+            push_end: self.push_end.subscribe(),
             tx: self.tx.clone(),
         };
         spawn_local(cross_domain::run(CrossDomain {
@@ -205,7 +209,7 @@
         }));
     }
 
-    /// What this host says of itself in the list of hosts.
+    /// This host's entry in the list of hosts.
     pub(super) fn entry(&self) -> HostEntry {
         HostEntry {
             addr: self.settings.peers,
@@ -214,7 +218,7 @@
         }
     }
 
-    /// Records what this process counts against teams.
+    /// A recorder of the usage that this process charges to teams.
     pub(super) fn recorder(&self, counted: usage::Counted) -> usage::Recorder {
         usage::Recorder {
             lane: self.store.lane(),
@@ -229,38 +233,40 @@
         &self,
         partition: Partition,
         wait: Duration,
-        every: Duration,
-        gate: watch::Receiver<bool>,
+        interval: Duration,
+        enabled: watch::Receiver<bool>,
         input: impl Fn(Read) -> Input + 'static,
     ) {
-        let options = FollowOptions { partition, wait, every, gate };
+        let options = FollowOptions { partition, wait, interval, enabled };
         let (store, reach) = (self.store.clone(), self.reach.clone());
         let (clock, tx) = (self.clock.clone(), self.tx.clone());
         spawn_local(follow::follow(store, reach, options, clock, tx, input));
     }
 
-    /// Takes an input.
+    /// Handles one input.
     pub(super) fn handle(&mut self, input: Input) {
         match input {
             Input::Operator(as_of, changes) => self.on_operator(as_of, &changes),
-            Input::Servers(asked, changes) => self.on_servers(asked, changes),
+            Input::Servers(sent_at, changes) => self.on_servers(sent_at, changes),
             Input::Hosts(changes) => self.on_hosts(&changes),
-            Input::Maps { partition, asked, changes } => self.on_maps(partition, asked, changes),
-            Input::PeerUpdate { of, topic, answered, news } => {
-                self.on_update(of, topic, answered, *news)
+            Input::Maps { partition, sent_at, changes } => {
+                self.on_maps(partition, sent_at, changes)
+            }
+            Input::PeerUpdate { of, topic, answered, update } => {
+                self.on_update(of, topic, answered, *update)
             }
             Input::BuildRequest { of, topic, reply } => {
-                // The task that asked may have been given up meanwhile.
-                let _ = reply.send(self.question(of, topic));
+                // The requesting task may have been cancelled.
+                let _ = reply.send(self.build_request(of, topic));
             }
-            Input::PeerRequest { asked, reply } => {
+            Input::PeerRequest { request, reply } => {
                 // As above.
-                let _ = reply.send(self.answer(&asked));
+                let _ = reply.send(self.answer_request(&request));
             }
             Input::Crash(fact) => self.on_crash(fact),
             Input::Duties(duties) => self.on_duties(duties),
-            Input::MapWritten { service, map, asked, at, result } => {
-                self.on_map_written(&service, map, asked, at, result);
+            Input::MapWritten { service, map, sent_at, at, result } => {
+                self.on_map_written(&service, map, sent_at, at, result);
             }
             Input::Granted { service, event } => {
                 self.counters.on_grant(&event);
@@ -273,7 +279,7 @@
             Input::Datagram(message) => self.on_datagram(message),
             Input::Tick => {
                 self.publish_freshness();
-                if self.known.expire_cold_servers(self.clock.now()) {
+                if self.replica.expire_cold_servers(self.clock.now()) {
                     self.on_changed(Changed { servers: true, ..Changed::default() });
                 }
                 self.update_standby();
@@ -281,7 +287,7 @@
                 self.publish_gates();
             }
             Input::Dump(reply) => {
-                // Whoever asked may have left.
+                // The operator's connection may have closed.
                 let _ = reply.send(format!("{self:#?}"));
             }
             Input::Stop => {
@@ -292,7 +298,8 @@
         }
     }
 
-    /// Goes on with what one look serves for, after all inputs that came together: keys that were released, and facts to tell.
+    /// Does once per batch of inputs what need not be done per input: ticks the grantors of services with released keys, and publishes crash
+    /// facts.
     pub(super) fn finish_batch(&mut self) {
         for service in std::mem::take(&mut self.released) {
             self.step(&service, Event::Tick);
@@ -300,7 +307,7 @@
         self.publish_crashes();
     }
 
-    /// Notes how long an input has waited for this thread.
+    /// Records in the metrics how long an input waited for this thread.
     pub(super) fn record_wait(&self, input: &Input, since: Instant) {
         let waited = self.clock.now().saturating_duration_since(since);
         self.counters.on_control_wait(input.kind() == InputKind::StoreState, waited);
--- a/crates/jacinthbeam-host/src/process/control/unreadable.rs
+++ b/crates/jacinthbeam-host/src/process/control/unreadable.rs
@@ -1,21 +1,22 @@
-//! Records of the store that other writers left and that can't be read.
+//! Remembers which unreadable records of the store were logged.
 
 use std::collections::BTreeSet;
 
-/// Keys that are remembered. A writer that draws a new key for each record must not fill the memory, nor the log.
-const MOST: usize = 256;
+/// Bound on remembered keys. A writer that uses a new key for every record must fill neither the memory nor the log.
+const MAX_KEYS: usize = 256;
 
-/// Which of them were told of.
+/// The records that were logged.
 ///
-/// A writer that repeats its record in every heartbeat would write a line of log a second from each host that reads the store.
+/// A writer that repeats an unreadable record with every heartbeat would otherwise cause a log line per second on each host that reads the
+/// store.
 #[derive(Debug, Default)]
 pub(super) struct Unreadable {
     told: BTreeSet<(&'static str, String)>,
 }
 
 impl Unreadable {
-    /// Whether a record of this kind under this key is the first one, and there is still room to remember it.
+    /// Whether a record of this kind and key was not logged yet and there is room to remember it; remembers it.
     pub(super) fn is_new(&mut self, what: &'static str, key: &str) -> bool {
-        self.told.len() < MOST && self.told.insert((what, key.to_owned()))
+        self.told.len() < MAX_KEYS && self.told.insert((what, key.to_owned()))
     }
 }
--- a/crates/jacinthbeam-host/src/process/control/update_client.rs
+++ b/crates/jacinthbeam-host/src/process/control/update_client.rs
@@ -1,4 +1,4 @@
-//! One question to another host, told anew if there is something to tell meanwhile.
+//! Requests updates from other hosts. A pending request is replaced when there are new crash facts to send with it.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -9,32 +9,32 @@
 use super::input::{Input, Tx};
 use crate::process::peers::{link::Link, source::Answer, update::UpdateRequest};
 
-/// Pause between questions that brought no news at once, so that a host that answers wrongly isn't asked in a tight loop.
+/// Pause after an answer without changes, so that a host that wrongly answers immediately isn't polled in a tight loop.
 pub(super) const MIN_POLL_PAUSE: Duration = Duration::from_millis(5);
 
-/// What is asked for.
+/// What to request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Topic {
-    /// All that the store holds, and servers that ended.
+    /// All data of the store, and crash facts.
     All,
-    /// Servers that ended, and the requests that they were running.
+    /// Crash facts only.
     Crashes,
 }
 
-/// Asks other hosts on behalf of the control thread.
+/// Requests updates from other hosts on behalf of the control thread.
 #[derive(Debug, Clone)]
 pub(super) struct UpdateClient {
     pub(super) clock: Arc<dyn Clock>,
-    /// How far this host's own list of facts has to be told without waiting for the next question.
-    pub(super) to_tell: watch::Receiver<LogPosition>,
+    /// LogPosition up to which this host's crash facts are to be sent without waiting for the next request.
+    pub(super) push_end: watch::Receiver<LogPosition>,
     pub(super) tx: Tx,
 }
 
 impl UpdateClient {
-    /// Asks once, hands on what came, and returns how good it is.
+    /// Requests one update, sends it to the control thread, and returns how fresh it is.
     ///
-    /// A host waits for news before it answers, up to two seconds. What this host has seen in that time is told at once, by asking anew: three
-    /// servers may have ended under one request before the wait is over.
+    /// The other host may hold its answer back for up to two seconds. Crash facts that appear meanwhile are sent immediately in a new request:
+    /// one request may crash three servers before the wait is over.
     pub(super) async fn ask(
         &self,
         link: &mut Link,
@@ -42,38 +42,42 @@
         topic: Topic,
     ) -> Result<Answer, String> {
         loop {
-            let asked = self.question(of, topic).await.ok_or("the process ends")?;
-            let begun = self.clock.now();
-            let news = tokio::select! {
-                news = link.ask(&asked) => news.map_err(|err| err.to_string())?,
-                () = self.more_to_tell(&asked) => continue,
+            let request = self.build_request(of, topic).await.ok_or("the process ends")?;
+            let sent_at = self.clock.now();
+            let update = tokio::select! {
+                update = link.ask(&request) => update.map_err(|err| err.to_string())?,
+                () = self.newer_facts(&request) => continue,
             };
-            let answer = Answer { age: news.age, steps: news.steps, asks_store: news.asks_store };
-            // The way of the question and that of the answer can't be told apart. Taken as if the answer's way were all of it, nothing
-            // seems newer than it is.
-            let answered = begun + news.waited;
-            if news.is_empty() {
+            let answer =
+                Answer { age: update.age, steps: update.steps, asks_store: update.asks_store };
+            // The transit times of request and answer can't be separated. Counting all of it as the answer's makes the data look older than
+            // it is, never newer.
+            let answered = sent_at + update.waited;
+            if update.is_empty() {
                 tokio::time::sleep(MIN_POLL_PAUSE).await;
             }
-            let input = Input::PeerUpdate { of, topic, answered, news: Box::new(news) };
+            let input = Input::PeerUpdate { of, topic, answered, update: Box::new(update) };
             self.tx.send(input).map_err(|_| "the process ends")?;
             return Ok(answer);
         }
     }
 
-    async fn question(&self, of: SocketAddr, topic: Topic) -> Option<UpdateRequest> {
-        let (reply, asked) = oneshot::channel();
+    async fn build_request(&self, of: SocketAddr, topic: Topic) -> Option<UpdateRequest> {
+        let (reply, request) = oneshot::channel();
         self.tx.send(Input::BuildRequest { of, topic, reply }).ok()?;
-        asked.await.ok()
+        request.await.ok()
     }
 
-    /// Waits until there is something to tell that the question lacks. One that doesn't hold all that there was is answered at once.
-    async fn more_to_tell(&self, asked: &UpdateRequest) {
-        let told = asked.crashes.as_ref().map_or(LogPosition::default(), |question| question.end);
-        let mut to_tell = self.to_tell.clone();
-        let more = to_tell.wait_for(|to_tell| !asked.wait.is_zero() && *to_tell > told).await;
+    /// Waits until there are facts to send that the request lacks. A request with a zero wait already lacked some and is answered immediately,
+    /// so it is never replaced.
+    async fn newer_facts(&self, request: &UpdateRequest) {
+        let sent_end =
+            request.crashes.as_ref().map_or(LogPosition::default(), |question| question.end);
+        let mut push_end = self.push_end.clone();
+        let more =
+            push_end.wait_for(|push_end| !request.wait.is_zero() && *push_end > sent_end).await;
         if more.is_err() {
-            // The control thread has ended, and so will the question.
+            // The control thread has ended, and this task ends with it.
             std::future::pending::<()>().await;
         }
     }
