--- a/crates/jacinthbeam-host/src/process/control/calls.rs
+++ b/crates/jacinthbeam-host/src/process/control/calls.rs
@@ -58,32 +58,32 @@
     wire: Wire,
     clock: Arc<dyn Clock>,
     tx: Tx,
-    lines: BTreeMap<SocketAddr, Rc<GrantConnection>>,
+    connections: BTreeMap<SocketAddr, Rc<GrantConnection>>,
 }
 
 impl GrantClient {
     pub(super) fn new(wire: Wire, clock: Arc<dyn Clock>, tx: Tx) -> Self {
-        Self { wire, clock, tx, lines: BTreeMap::new() }
+        Self { wire, clock, tx, connections: BTreeMap::new() }
     }
 
     /// Closes idle connections to servers other than these.
     pub(super) fn keep_only(&mut self, addrs: &[SocketAddr]) {
-        self.lines.retain(|addr, line| addrs.contains(addr) || Rc::strong_count(line) > 1);
+        self.connections.retain(|addr, line| addrs.contains(addr) || Rc::strong_count(line) > 1);
     }
 
     /// Sends grants to one server, one after the other, while the leadership is current and until the deadline `until`, and only over the
-    /// connection that was open at `over`. The result is sent as [`Event::Granted`].
+    /// connection that the time `connection` identifies. The result is sent as [`Event::Granted`].
     pub(super) fn grant(
         &mut self,
         service: ServiceName,
         to: Owner,
         calls: Vec<RangeGrant>,
-        over: Option<Instant>,
+        connection: Option<Instant>,
         until: Instant,
         leadership: Leadership,
     ) {
         let new = || Rc::new(GrantConnection::new(to.addr));
-        let line = self.lines.entry(to.addr).or_insert_with(new).clone();
+        let line = self.connections.entry(to.addr).or_insert_with(new).clone();
         let (wire, clock, tx) = (self.wire, self.clock.clone(), self.tx.clone());
         spawn_local(async move {
             let mut round = Round::new();
@@ -91,7 +91,7 @@
             let mut calls = calls;
             fastrand::shuffle(&mut calls);
             for call in &calls {
-                if !round.is_open(&*clock, &line, over).await {
+                if !round.check_connection(&*clock, &line, connection).await {
                     break;
                 }
                 // Checked right before each call: this process may have been suspended or replaced since the round was ordered.
@@ -100,7 +100,7 @@
                     break;
                 }
                 round.send(wire, &*clock, &line, &to, call).await;
-                if round.is_over() {
+                if round.is_finished() {
                     break;
                 }
             }
@@ -178,7 +178,7 @@
     last_call: Option<Instant>,
     confirmed: Vec<(KeyRange, Token)>,
     refused: Vec<KeyRange>,
-    silent: u32,
+    unanswered: u32,
 }
 
 /// Unanswered calls after which a round ends, if the server answered others. Each costs [`GRANT_TIMEOUT`], while the holds of the other
@@ -192,31 +192,31 @@
             last_call: None,
             confirmed: Vec::new(),
             refused: Vec::new(),
-            silent: 0,
+            unanswered: 0,
         }
     }
 
     /// Whether to end the round: another server or connection was found, or too many calls were unanswered.
-    fn is_over(&self) -> bool {
+    fn is_finished(&self) -> bool {
         let answers = !self.confirmed.is_empty() || !self.refused.is_empty();
-        let most = if answers { MAX_UNANSWERED } else { 1 };
+        let max_unanswered = if answers { MAX_UNANSWERED } else { 1 };
         let is_other = matches!(self.outcome, Outcome::Ended | Outcome::Opened(_));
-        is_other || self.silent >= most
+        is_other || self.unanswered >= max_unanswered
     }
 
     /// Connects if necessary. Returns whether the connection is the one that the calls are meant for; if not, the round has ended.
-    async fn is_open(
+    async fn check_connection(
         &mut self,
         clock: &dyn Clock,
         line: &GrantConnection,
-        over: Option<Instant>,
+        connection: Option<Instant>,
     ) -> bool {
         match line.open(clock).await {
-            Ok(at) if Some(at) == over => return true,
+            Ok(at) if Some(at) == connection => return true,
             Ok(at) => self.outcome = Outcome::Opened(at),
             Err(_) => {
                 self.outcome = Outcome::Silent;
-                self.silent += 1;
+                self.unanswered += 1;
             }
         }
         false
@@ -237,7 +237,7 @@
             Ok(res) => (wire.parse_grant_response)(to, &res),
             Err(line::Error::NotSent(_)) => {
                 self.outcome = Outcome::Silent;
-                self.silent += 1;
+                self.unanswered += 1;
                 return;
             }
             Err(line::Error::Lost(_)) => Granted::Unclear,
@@ -249,7 +249,7 @@
             Granted::OtherServer => self.outcome = Outcome::Ended,
             Granted::Unclear => {
                 self.outcome = Outcome::Silent;
-                self.silent += 1;
+                self.unanswered += 1;
             }
         }
     }
--- a/crates/jacinthbeam-host/src/process/control/gates.rs
+++ b/crates/jacinthbeam-host/src/process/control/gates.rs
@@ -63,15 +63,15 @@
         now: Instant,
     ) -> Vec<Message> {
         let Some(granting) = self.granting.get_mut(service) else { return Vec::new() };
-        let words = Message::gates(service, gates);
-        let due = granting.told.is_none_or(|at| now >= at + HEARTBEAT_INTERVAL);
-        if !granting.grantor.leads() || (words.is_empty() && !due) {
+        let messages = Message::gates(service, gates);
+        let due = granting.broadcast.is_none_or(|at| now >= at + HEARTBEAT_INTERVAL);
+        if !granting.grantor.leads() || (messages.is_empty() && !due) {
             return Vec::new();
         }
-        granting.told = Some(now);
-        match words.is_empty() {
+        granting.broadcast = Some(now);
+        match messages.is_empty() {
             true => vec![Message::Gates { service: service.clone(), gates: BTreeMap::new() }],
-            false => words,
+            false => messages,
         }
     }
 
--- a/crates/jacinthbeam-host/src/process/control/granting.rs
+++ b/crates/jacinthbeam-host/src/process/control/granting.rs
@@ -71,7 +71,7 @@
         if !self.granting.contains_key(name) {
             let grantor = Grantor::new(name.clone(), self.me.clone());
             self.granting
-                .insert(name.clone(), Granting { grantor, leads: Rc::default(), told: None });
+                .insert(name.clone(), Granting { grantor, leads: Rc::default(), broadcast: None });
             let duty = self.duties.contains(&number);
             self.step(name, Event::Duty(duty));
             self.notify_grantor(name, number, self.clock.now());
@@ -100,7 +100,7 @@
     pub(super) fn on_maps(&mut self, number: u32, sent_at: Instant, changes: Changes) {
         let Some(partition) = self.partitions.get_mut(&number) else { return };
         self.contact.on_maps(number, self.clock.now());
-        let newer = partition.take(changes);
+        let newer = partition.apply(changes);
         let mut changed = Changed::default();
         for (service, map) in newer {
             changed.maps |= self.replica.apply_map(service, map);
@@ -139,7 +139,7 @@
             Ok(end) => {
                 let number = self.partition_of(service);
                 if let Some(partition) = self.partitions.get_mut(&number) {
-                    partition.take_own(service.clone(), at, end, map.clone());
+                    partition.apply_own(service.clone(), at, end, map.clone());
                 }
                 self.step(service, Event::Recorded { sent_at });
                 let moved = self.replica.map(service).map_or(0, |known| map.moved_since(known));
--- a/crates/jacinthbeam-host/src/process/control/maps.rs
+++ b/crates/jacinthbeam-host/src/process/control/maps.rs
@@ -33,7 +33,7 @@
     }
 
     /// Applies records read from the store. Returns the maps that are newer than the known ones.
-    pub(super) fn take(&mut self, changes: Changes) -> Vec<(ServiceName, Map)> {
+    pub(super) fn apply(&mut self, changes: Changes) -> Vec<(ServiceName, Map)> {
         self.read = true;
         self.end = self.end.max(changes.end);
         let mut newer = Vec::new();
@@ -56,7 +56,7 @@
     }
 
     /// Applies a record that this host wrote itself at offset `at`.
-    pub(super) fn take_own(&mut self, service: ServiceName, at: Offset, end: Offset, map: Map) {
+    pub(super) fn apply_own(&mut self, service: ServiceName, at: Offset, end: Offset, map: Map) {
         self.end = self.end.max(end);
         self.put(service, at, map);
     }
--- a/crates/jacinthbeam-host/src/process/control/mod.rs
+++ b/crates/jacinthbeam-host/src/process/control/mod.rs
@@ -243,8 +243,8 @@
 /// The whole state of the control thread as text.
 async fn dump(tx: Tx) -> String {
     let (reply, text) = oneshot::channel();
-    let asked = tx.send(Input::Dump(reply)).is_ok();
-    let text = if asked { text.await.ok() } else { None };
+    let is_sent = tx.send(Input::Dump(reply)).is_ok();
+    let text = if is_sent { text.await.ok() } else { None };
     text.unwrap_or_else(|| "the process ends".into())
 }
 
--- a/crates/jacinthbeam-host/src/process/control/state.rs
+++ b/crates/jacinthbeam-host/src/process/control/state.rs
@@ -53,7 +53,7 @@
     pub(super) grantor: Grantor,
     pub(super) leads: LeadEpoch,
     /// When this host last broadcast gates or a heartbeat for the service.
-    pub(super) told: Option<Instant>,
+    pub(super) broadcast: Option<Instant>,
 }
 
 /// State of the control thread.
--- a/crates/jacinthbeam-host/src/process/control/unreadable.rs
+++ b/crates/jacinthbeam-host/src/process/control/unreadable.rs
@@ -11,12 +11,12 @@
 /// store.
 #[derive(Debug, Default)]
 pub(super) struct Unreadable {
-    told: BTreeSet<(&'static str, String)>,
+    logged: BTreeSet<(&'static str, String)>,
 }
 
 impl Unreadable {
     /// Whether a record of this kind and key was not logged yet and there is room to remember it; remembers it.
     pub(super) fn is_new(&mut self, what: &'static str, key: &str) -> bool {
-        self.told.len() < MAX_KEYS && self.told.insert((what, key.to_owned()))
+        self.logged.len() < MAX_KEYS && self.logged.insert((what, key.to_owned()))
     }
 }
