--- a/crates/jacinthbeam-host/src/process/control/mod.rs
+++ b/crates/jacinthbeam-host/src/process/control/mod.rs
@@ -285,7 +285,7 @@
 
 /// Receives datagrams from other hosts and sends them on as inputs.
 async fn receive_datagrams(socket: Rc<tokio::net::UdpSocket>, tx: Tx) {
-    let mut buf = [0; peers::load::LONGEST * 2];
+    let mut buf = [0; peers::load::MAX_DATAGRAM_BYTES * 2];
     loop {
         let (len, from) = match socket.recv_from(&mut buf).await {
             Ok(received) => received,
--- a/crates/jacinthbeam-host/src/process/peers/link.rs
+++ b/crates/jacinthbeam-host/src/process/peers/link.rs
@@ -1,4 +1,4 @@
-//! Asking another host for news, over one h2 connection.
+//! Requests updates from another host over an HTTP/2 connection.
 
 use std::{fmt, net::SocketAddr, time::Duration};
 
@@ -14,25 +14,25 @@
     update::{self, StateUpdate, UpdateRequest},
 };
 
-/// Longest attempt to connect to a host: five times the 50 ms that two domains may be apart. A host that has lost its power answers
-/// nothing, and until it is given up its followers hear nothing.
-const CONNECT_WITHIN: Duration = Duration::from_millis(250);
+/// Connect timeout: five times the 50 ms of latency allowed between two domains. A host that has lost power doesn't answer, and its followers
+/// get no data until the attempt times out.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Time for an answer besides the wait that was asked for.
-const ANSWER_WITHIN: Duration = Duration::from_millis(300);
+/// Timeout of a request, in addition to the wait that it allows.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Why there is no news.
+/// Why a request failed.
 #[derive(Debug)]
 pub(crate) enum Error {
-    /// No connection.
+    /// The connection attempt failed.
     Connect(std::io::Error),
     /// No answer in time.
     Silent,
     /// The connection ended.
     Ended(hyper::Error),
-    /// Another status than 200.
+    /// The status is not 200.
     Status(StatusCode),
-    /// The answer can't be read.
+    /// The answer can't be decoded.
     Unreadable(String),
 }
 
@@ -41,9 +41,9 @@
         match self {
             Self::Connect(err) => write!(f, "no connection: {err}"),
             Self::Silent => f.write_str("no answer in time"),
-            Self::Ended(err) => write!(f, "the connection ended: {err}"),
+            Self::Ended(err) => write!(f, "the connection closed: {err}"),
             Self::Status(status) => write!(f, "the answer is {status}"),
-            Self::Unreadable(why) => write!(f, "the answer can't be read: {why}"),
+            Self::Unreadable(why) => write!(f, "the answer can't be decoded: {why}"),
         }
     }
 }
@@ -61,14 +61,14 @@
 }
 
 impl Link {
-    /// Connects.
+    /// Connects to a host.
     pub(crate) async fn open(addr: SocketAddr) -> Result<Self, Error> {
-        let connected = timeout(CONNECT_WITHIN, TcpStream::connect(addr));
+        let connected = timeout(CONNECT_TIMEOUT, TcpStream::connect(addr));
         let stream = connected.await.map_err(|_| Error::Silent)?.map_err(Error::Connect)?;
         stream.set_nodelay(true).map_err(Error::Connect)?;
         let handshake = http2::handshake(LocalExecutor, TokioIo::new(stream));
-        let shaken = timeout(CONNECT_WITHIN, handshake).await.map_err(|_| Error::Silent)?;
-        let (sender, conn) = shaken.map_err(Error::Ended)?;
+        let connected = timeout(CONNECT_TIMEOUT, handshake).await.map_err(|_| Error::Silent)?;
+        let (sender, conn) = connected.map_err(Error::Ended)?;
         spawn_local(async move {
             if let Err(err) = conn.await {
                 tracing::debug!(part = "peers", event = "link-ended", error = ?err);
@@ -77,12 +77,14 @@
         Ok(Self { sender })
     }
 
-    /// Asks for news.
-    pub(crate) async fn ask(&mut self, asked: &UpdateRequest) -> Result<StateUpdate, Error> {
-        let body = Full::new(Bytes::from(update::to_bytes(asked)));
+    /// Requests an update. Times out after the wait that the request allows plus [`ANSWER_TIMEOUT`].
+    pub(crate) async fn ask(&mut self, request: &UpdateRequest) -> Result<StateUpdate, Error> {
+        let body = Full::new(Bytes::from(update::to_bytes(request)));
         let req =
             Request::post(format!("http://host{PATH}")).body(body).expect("the path is valid");
-        timeout(asked.wait + ANSWER_WITHIN, self.exchange(req)).await.map_err(|_| Error::Silent)?
+        timeout(request.wait + ANSWER_TIMEOUT, self.exchange(req))
+            .await
+            .map_err(|_| Error::Silent)?
     }
 
     async fn exchange(&mut self, req: Request<Full<Bytes>>) -> Result<StateUpdate, Error> {
@@ -90,7 +92,7 @@
         if res.status() != StatusCode::OK {
             return Err(Error::Status(res.status()));
         }
-        let body = Limited::new(res.into_body(), update::LONGEST).collect().await;
+        let body = Limited::new(res.into_body(), update::MAX_MESSAGE_BYTES).collect().await;
         let bytes = body.map_err(|err| Error::Unreadable(err.to_string()))?.to_bytes();
         update::from_bytes(&bytes).map_err(|err| Error::Unreadable(err.to_string()))
     }
--- a/crates/jacinthbeam-host/src/process/peers/load.rs
+++ b/crates/jacinthbeam-host/src/process/peers/load.rs
@@ -1,7 +1,7 @@
-//! Datagrams with counts of load.
+//! Datagrams between hosts: load reports, gates, and notices that a grantor has stopped.
 //!
-//! Counts of load are sent four times a second and matter for some seconds, so a lost one costs nothing. A stream would cost a
-//! connection from every host to every granting host.
+//! Load reports are sent four times a second and matter for some seconds, so losing one is harmless. Streams would need a connection from
+//! every host to every granting host.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -9,13 +9,13 @@
 use jacinthbeam_types::prelude::*;
 use serde::{Deserialize, Serialize};
 
-/// Longest datagram: fits a link's frames without being cut.
-pub const LONGEST: usize = 1400;
+/// Largest datagram in bytes; it fits an Ethernet frame without fragmentation.
+pub const MAX_DATAGRAM_BYTES: usize = 1400;
 
-/// What one host tells another.
+/// A datagram from one host to another.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Counts of a keyed service since the last message.
+    /// Counts of requests to a keyed service since the last report.
     Load {
         /// The host that counted.
         from: HostId,
@@ -24,44 +24,44 @@
         /// The counts.
         report: LoadReport,
     },
-    /// A host that granted the keys of a service sends no grant of that epoch any more.
+    /// A host has stopped granting the keys of a service, and sends no more grants of this epoch.
     Stopped {
         /// The service.
         service: ServiceName,
-        /// The life of the host's process.
+        /// The incarnation of the host's process.
         leader: Leader,
         /// The epoch in which it granted.
         epoch: Epoch,
         /// For how long hosts that granted before it may still renew.
         others_left: Duration,
     },
-    /// What may be sent to owners that are asked for more than they can do. It stands for a second.
+    /// Admission limits for overloaded owners, valid for about a second; without any, a heartbeat of the granting host.
     Gates {
         /// The service.
         service: ServiceName,
-        /// The gates. Owners that are not named may be sent everything.
+        /// The gates. Owners that are not listed have no limit.
         gates: BTreeMap<ServerId, Gate>,
     },
 }
 
-/// Why a datagram can't be read.
+/// Why a datagram can't be decoded.
 pub type Error = bincode::error::DecodeError;
 
 impl Message {
-    /// The datagram.
+    /// Encodes the datagram.
     pub fn to_bytes(&self) -> Vec<u8> {
         let cfg = bincode::config::standard();
         bincode::serde::encode_to_vec(self, cfg)
             .expect("a message has no type that can't be encoded")
     }
 
-    /// Reads a datagram.
+    /// Decodes a datagram.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self, Error> {
-        let cfg = bincode::config::standard().with_limit::<{ LONGEST * 16 }>();
+        let cfg = bincode::config::standard().with_limit::<{ MAX_DATAGRAM_BYTES * 16 }>();
         Ok(bincode::serde::decode_from_slice(bytes, cfg)?.0)
     }
 
-    /// Gates of one service, few enough for a datagram each.
+    /// Splits the gates of one service into datagrams.
     pub fn gates(service: &ServiceName, gates: &BTreeMap<ServerId, Gate>) -> Vec<Self> {
         // A gate takes up to 60 bytes with its server's name.
         let gates: Vec<_> = gates.iter().map(|(id, gate)| (id.clone(), *gate)).collect();
@@ -72,7 +72,7 @@
         gates.chunks(20).map(message).collect()
     }
 
-    /// Reports of one service, each short enough for a datagram.
+    /// Splits the report for one service into datagrams.
     pub fn loads(from: &HostId, service: &ServiceName, report: LoadReport) -> Vec<Self> {
         let mut messages = Vec::new();
         let mut part = LoadReport::default();
--- a/crates/jacinthbeam-host/src/process/peers/long_poll.rs
+++ b/crates/jacinthbeam-host/src/process/peers/long_poll.rs
@@ -1,4 +1,4 @@
-//! The answer to a host that asks for news, once there are some.
+//! Long polling on the answering side.
 
 use std::time::Duration;
 
@@ -6,10 +6,11 @@
 
 use super::update::StateUpdate;
 
-/// Finds news, waiting up to `wait` for some if there are none. `look` says what is newer now; `changes` tells when to look again.
+/// Returns an update, waiting up to `wait` until there is something new. `look` returns what is new now; `changes` signals when to call it
+/// again.
 ///
-/// The age is told as it is at the answer, not as it was at the question: hosts that ask each other in a ring would otherwise
-/// find each other fresh for ever. News older than `too_old` are answered at once, so that the other host can turn elsewhere.
+/// The age is that at the time of the answer, not of the request: hosts that poll each other in a ring would otherwise consider each other
+/// fresh forever. Data older than `too_old` is answered immediately, so that the other host can select another source.
 pub async fn long_poll<V>(
     look: impl AsyncFn() -> StateUpdate,
     mut changes: watch::Receiver<V>,
@@ -21,10 +22,10 @@
     let mut last = false;
     loop {
         changes.mark_unchanged();
-        let news = StateUpdate { waited: begun.elapsed(), ..look().await };
-        let left = too_old.saturating_sub(news.age);
-        if !news.is_empty() || last || left.is_zero() {
-            return news;
+        let update = StateUpdate { waited: begun.elapsed(), ..look().await };
+        let left = too_old.saturating_sub(update.age);
+        if !update.is_empty() || last || left.is_zero() {
+            return update;
         }
         let until = end.min(Instant::now() + left);
         last = !matches!(tokio::time::timeout_at(until, changes.changed()).await, Ok(Ok(())));
--- a/crates/jacinthbeam-host/src/process/peers/mod.rs
+++ b/crates/jacinthbeam-host/src/process/peers/mod.rs
@@ -1,4 +1,4 @@
-//! What hosts say to each other: reports of load as datagrams, news of the store as h2 streams.
+//! Communication between hosts: load reports and gates as datagrams, updates of the store's data over HTTP/2.
 
 pub(super) mod link;
 pub mod load;
@@ -13,26 +13,26 @@
 use jacinthbeam_types::prelude::*;
 use serde::{Deserialize, Serialize};
 
-/// Where a host is, as it says in the store.
+/// The entry of a host in the store's list of hosts.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostEntry {
-    /// Takes datagrams and streams of other hosts.
+    /// Address for datagrams and connections from other hosts.
     pub addr: SocketAddr,
-    /// Where it runs.
+    /// The failure domain that it runs in.
     pub domain: FailureDomain,
     /// Its share of a processor.
     pub processor: Millicores,
 }
 
 impl HostEntry {
-    /// The entry as kept in the store.
+    /// Encodes the entry for the store.
     pub fn to_bytes(&self) -> Vec<u8> {
         let cfg = bincode::config::standard();
         bincode::serde::encode_to_vec(self, cfg)
             .expect("an entry has no type that can't be encoded")
     }
 
-    /// Reads back what [`HostEntry::to_bytes`] gave, or a version before it that didn't tell the processor.
+    /// Decodes an entry, also one of an earlier version without the processor.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self, bincode::error::DecodeError> {
         let cfg = bincode::config::standard();
         let ((addr, domain), len) = bincode::serde::decode_from_slice(bytes, cfg)?;
--- a/crates/jacinthbeam-host/src/process/peers/order.rs
+++ b/crates/jacinthbeam-host/src/process/peers/order.rs
@@ -1,7 +1,7 @@
 //! The order in which the hosts of a failure domain read the store for each other. No I/O.
 //!
-//! Nobody is elected: each host works out the same order from the list of hosts. Those with most processor come first, since a reader
-//! answers every other host of its domain; equal ones in the order of their names.
+//! There is no election: each host derives the same order from the list of hosts. Hosts with more processor come first, since a reader answers
+//! all other hosts of its domain; equal ones are ordered by name.
 
 use std::{cmp::Reverse, collections::BTreeMap, net::SocketAddr};
 
@@ -10,25 +10,25 @@
 
 use super::HostEntry;
 
-/// Hosts of another failure domain that are asked for news, at the most: its first ones, some of which read the store.
-const ASKED_FAR: usize = 4;
+/// Largest number of hosts of another failure domain that are polled: the first in its order, some of which read the store.
+const MAX_FAR_HOSTS: usize = 4;
 
-/// A host and where it takes questions.
+/// A host and the address that answers its update requests.
 pub type Neighbour = (HostId, SocketAddr);
 
 /// The other hosts, as one host sees them.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Neighbours {
-    /// Those of its own failure domain that come before it, in order.
+    /// Hosts of its own failure domain that precede it, in order.
     pub before: Vec<Neighbour>,
-    /// Those of its own failure domain that come after it, in order.
+    /// Hosts of its own failure domain that follow it, in order.
     pub after: Vec<Neighbour>,
-    /// The first ones of each other failure domain, in order.
+    /// The first hosts of each other failure domain, in order.
     pub far: BTreeMap<FailureDomain, Vec<Neighbour>>,
 }
 
 impl Neighbours {
-    /// The neighbours of the host `me`, which runs as `own` says.
+    /// The neighbours of the host `me` with the entry `own`.
     pub fn of<'a>(
         me: &HostId,
         own: &HostEntry,
@@ -43,10 +43,10 @@
             hosts.sort_unstable_by_key(|(host, entry)| place(host, entry));
             if *domain == own.domain {
                 let at = hosts.partition_point(|(host, entry)| place(host, entry) < place(me, own));
-                neighbours.before = known(&hosts[..at]);
-                neighbours.after = known(&hosts[at..]);
+                neighbours.before = to_neighbours(&hosts[..at]);
+                neighbours.after = to_neighbours(&hosts[at..]);
             } else {
-                let first = known(&hosts[..hosts.len().min(ASKED_FAR)]);
+                let first = to_neighbours(&hosts[..hosts.len().min(MAX_FAR_HOSTS)]);
                 neighbours.far.insert(domain.clone(), first);
             }
         }
@@ -63,17 +63,17 @@
     (Reverse(entry.processor), host)
 }
 
-fn known(hosts: &[(&HostId, &HostEntry)]) -> Vec<Neighbour> {
+fn to_neighbours(hosts: &[(&HostId, &HostEntry)]) -> Vec<Neighbour> {
     hosts.iter().map(|(host, entry)| ((*host).clone(), entry.addr)).collect()
 }
 
-/// Whether the list has this entry of a host.
+/// Whether the list contains exactly this entry of a host.
 pub fn has(me: &HostId, own: &HostEntry, listed: &Changes) -> bool {
     let own = own.to_bytes();
     listed.items.iter().any(|item| item.key == me.as_str() && item.value == own)
 }
 
-/// Whether the list has no host that comes before this one.
+/// Whether no listed host precedes this one.
 pub fn is_first(me: &HostId, own: &HostEntry, listed: &Changes) -> bool {
     let fleet: Vec<_> = listed
         .items
--- a/crates/jacinthbeam-host/src/process/peers/serve.rs
+++ b/crates/jacinthbeam-host/src/process/peers/serve.rs
@@ -1,4 +1,4 @@
-//! Answering other hosts that ask for news.
+//! Answers update requests from other hosts.
 
 use std::{convert::Infallible, net::TcpListener, rc::Rc};
 
@@ -12,13 +12,13 @@
 use super::update::{self, StateUpdate, UpdateRequest};
 use crate::request::answer;
 
-/// Where news is asked for.
+/// Path of update requests.
 pub(super) const PATH: &str = "/news";
 
-/// Longest question: the state of some hundred ownership maps.
-const LONGEST_QUESTION: usize = 64 << 10;
+/// Largest request in bytes: the revisions of some hundred ownership maps.
+const MAX_REQUEST_BYTES: usize = 64 << 10;
 
-/// Runs the tasks of a connection on the thread of the caller.
+/// Runs the tasks of a connection on the current thread.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct LocalExecutor;
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// Answers each question with what `find` returns, which may take its time. Runs for ever.
+/// Answers each request with the update that `find` returns, which may wait. Runs forever.
 pub(crate) async fn run<F: Future<Output = StateUpdate> + 'static>(
     listener: TcpListener,
     find: impl Fn(UpdateRequest) -> F + 'static,
@@ -69,17 +69,19 @@
     find: &impl Fn(UpdateRequest) -> F,
 ) -> Response<Full<Bytes>> {
     if req.uri().path() != PATH {
-        return answer::plain(StatusCode::NOT_FOUND, format!("hosts ask at {PATH}"));
+        return answer::plain(StatusCode::NOT_FOUND, format!("update requests go to {PATH}"));
     }
-    let body = Limited::new(req.into_body(), LONGEST_QUESTION).collect().await;
+    let body = Limited::new(req.into_body(), MAX_REQUEST_BYTES).collect().await;
     let Ok(bytes) = body.map(|body| body.to_bytes()) else {
-        return answer::plain(StatusCode::PAYLOAD_TOO_LARGE, "the question is too long".into());
+        return answer::plain(StatusCode::PAYLOAD_TOO_LARGE, "the request is too large".into());
     };
     match update::from_bytes(&bytes) {
-        Ok(asked) => Response::new(Full::new(Bytes::from(update::to_bytes(&find(asked).await)))),
+        Ok(request) => {
+            Response::new(Full::new(Bytes::from(update::to_bytes(&find(request).await))))
+        }
         Err(err) => {
             tracing::warn!(part = "peers", event = "unreadable-question", error = ?err);
-            answer::plain(StatusCode::BAD_REQUEST, "the question can't be read".into())
+            answer::plain(StatusCode::BAD_REQUEST, "the request can't be decoded".into())
         }
     }
 }
--- a/crates/jacinthbeam-host/src/process/peers/source.rs
+++ b/crates/jacinthbeam-host/src/process/peers/source.rs
@@ -1,12 +1,12 @@
-//! Where a host takes the news of the store from: itself, or a host that comes before it in its failure domain. No I/O.
+//! Selects the source of a host's data: the store itself, or a host that precedes it in the order of its failure domain. No I/O.
 //!
-//! Calls to the store are limited and priced over all hosts, refused and unanswered ones too. If each host read for itself whenever it
-//! hears nothing, what is asked of the store would grow with the fleet: 295 hosts made 22,000 to 33,000 calls on days on which the store
-//! turned a third of them away, was silent for 8 s, or all lost power. So a host turns to the store only when it is its turn, after the
-//! first ones in the order of its domain that are there. At most [`MAX_RETRYING_HOSTS`] of a domain ask a store that doesn't answer, however long
-//! that lasts.
+//! Calls to the store are limited and priced over all hosts, including refused and unanswered ones. If every host read the store whenever it
+//! had no fresh data, the calls would grow with the fleet: 295 hosts made 22,000 to 33,000 calls when the store refused a third of them, was
+//! unresponsive for 8 s, or all hosts lost power. A host therefore reads the store only after the first reachable hosts of its domain's order
+//! have had time to do so. At most [`MAX_RETRYING_HOSTS`] hosts of a domain call a store that doesn't answer, however long that lasts.
 //!
-//! Each answer of a host says how old its news are and over how many hosts they came, so that nobody goes on with old ones or in a ring.
+//! Each answer carries its age and the number of hosts that the data has passed, so that hosts follow neither stale data nor each other in
+//! a ring.
 
 use std::{
     collections::BTreeMap,
@@ -18,50 +18,50 @@
 
 use super::order::{Neighbour, Neighbours};
 
-/// Age of news above which a host looks for others: a pause between reads, and as much again for a slow answer. What the store
-/// acknowledges has two seconds to act everywhere.
+/// Age of data above which a host looks for another source: the pause between reads, and about as much again for a slow answer. A change
+/// that the store has acknowledged must act everywhere within two seconds.
 pub const MAX_STALENESS: Duration = Duration::from_millis(950);
 
-/// Hosts of a failure domain that ask the store at the same time, at the most, while it gives them no answer. Where it turns away a third of
-/// all hosts, one domain in 27 has three such hosts in front; their news come from another domain then.
+/// Largest number of hosts of a failure domain that call a store that doesn't answer them. If the store refuses a third of all hosts, one domain
+/// in 27 has three refused hosts at the front of its order; its data then comes from another domain.
 pub const MAX_RETRYING_HOSTS: usize = 3;
 
-/// Hosts before it that one host asks in turn: those that may try the store, and one more, since one of them may be about to stop.
-const ASKED: usize = MAX_RETRYING_HOSTS + 1;
+/// Number of preceding hosts that a host polls in turn: those that may call the store, and one more, since one of them may be stopping.
+const POLLED_HOSTS: usize = MAX_RETRYING_HOSTS + 1;
 
-/// Time that a host gives each host before it for reading the store, before it reads the store itself: a new reader is assumed to have
-/// its first answer in some 20 ms, and a host with a tenth of a core stands still for 100 ms at a time.
-const TURN: Duration = Duration::from_millis(150);
+/// Time that a host leaves each preceding host for becoming a reader, before it reads the store itself. A new reader is assumed to get its
+/// first answer in some 20 ms, and a host with a tenth of a core is throttled for 100 ms at a time.
+const READER_TURN: Duration = Duration::from_millis(150);
 
-/// First and longest pause before a host is asked again that is there, but has nothing to go on. The first is below [`TURN`], and stays for as
-/// long as the hosts before may have their turns, so that a new reader is found before others become readers too. At the longest the first
-/// hosts of a domain of 60 get 70 questions a second.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-const LONGEST_PAUSE: Duration = Duration::from_millis(800);
+/// Bounds of the backoff for polling a reachable host that has no usable data. The initial pause is below [`READER_TURN`] and stays in use
+/// while preceding hosts may still become readers, so that a new reader is found before others become readers too. At the longest pause the
+/// first hosts of a domain of 60 get 70 requests a second.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
+const MAX_BACKOFF: Duration = Duration::from_millis(800);
 
-/// Pause before a host is asked again at whose address no process listens: all start within 300 ms of each other.
+/// Pause after a refused connection: all hosts of a fleet start within 300 ms of each other.
 const REFUSED_PAUSE: Duration = Duration::from_millis(300);
 
-/// First and longest pause before a host is asked again that gave no answer. One that is gone for good stays in the list of hosts, and each
-/// question to it takes a quarter of a second in which nothing is heard.
-const FIRST_SILENT_PAUSE: Duration = Duration::from_secs(3);
-const LONGEST_SILENT_PAUSE: Duration = Duration::from_secs(24);
+/// Bounds of the backoff for polling a host that doesn't answer. A removed host stays in the list of hosts, and each request to it costs a
+/// quarter of a second without data.
+const INITIAL_UNREACHABLE_BACKOFF: Duration = Duration::from_secs(3);
+const MAX_UNREACHABLE_BACKOFF: Duration = Duration::from_secs(24);
 
-/// Pause before a host is asked for help again that could give none.
-const HELP_AGAIN: Duration = Duration::from_secs(1);
+/// Pause before asking a host for help again that had no fresher data.
+const HELP_RETRY_PAUSE: Duration = Duration::from_secs(1);
 
-/// Hosts that news pass on their way to a host that others follow, at the most: the reader of another domain and one of its followers.
-/// Without a bound news pass from host to host down a domain: the last of 23 heard of a leaving server 1.4 s after the first had.
-const MOST_STEPS: u8 = 2;
+/// Largest number of hosts that data may have passed before the host that is followed: the reader of another domain and one of its followers.
+/// Without a bound, data passes from host to host down a domain: the last of 23 hosts learned of a leaving server 1.4 s after the first.
+const MAX_STEPS: u8 = 2;
 
-/// How good the answer of another host is.
+/// How fresh another host's answer is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Answer {
-    /// How long ago it last heard of the store, by itself or through others.
+    /// Age of its data: how long ago the store confirmed it, to that host or through others.
     pub age: Duration,
-    /// Hosts that its news have passed before it: 0 if it reads the store itself.
+    /// Number of hosts that its data has passed: 0 if it reads the store itself.
     pub steps: u8,
-    /// Whether it asks the store itself, answered or not.
+    /// Whether it calls the store itself, answered or not.
     pub asks_store: bool,
 }
 
@@ -70,71 +70,71 @@
         self.age <= MAX_STALENESS
     }
 
-    /// Whether a host may go on with the answers of one before it. One that the store answers gives that up only for another such one: else
-    /// two hosts would take their news from each other, one of which is turned away.
+    /// Whether a host may follow a preceding one that answered so. A host that the store answers follows only another such host; otherwise it
+    /// and a host that the store refuses could follow each other.
     pub fn can_be_followed(self, reads_store: bool) -> bool {
-        let most = if reads_store { 0 } else { MOST_STEPS };
-        self.is_fresh() && self.steps <= most
+        let max_steps = if reads_store { 0 } else { MAX_STEPS };
+        self.is_fresh() && self.steps <= max_steps
     }
 
-    /// Whether it helps a host that others follow.
+    /// Whether the data is of use to a host that others follow.
     pub fn helps(self) -> bool {
-        self.is_fresh() && self.steps < MOST_STEPS
+        self.is_fresh() && self.steps < MAX_STEPS
     }
 }
 
-/// Whether a host asks those that its settings name: it knows no other, since the list of hosts is in a store that turns it away, and has
-/// heard of nothing lately.
+/// Whether a host should poll the seed hosts in its settings: it knows no other host, since the store that holds the list of hosts refuses it,
+/// and its data is stale.
 pub fn should_ask_seeds(known: Option<&Neighbours>, age: Duration) -> bool {
     known.is_none_or(Neighbours::is_empty) && age > MAX_STALENESS
 }
 
-/// Why a host gave no answer.
+/// Why a request to a host failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NoAnswer {
     /// No process listens at its address.
     Refused,
-    /// Nothing came in time, or something that is no answer.
+    /// There was no answer in time, or an invalid one.
     Silent,
 }
 
-/// What a host does next for news.
+/// What a host does next to get data.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Asks a host before it, and goes on with its answers if they are good.
+    /// Poll a preceding host, and follow it if its answers are fresh.
     Ask(Neighbour),
-    /// Waits so long, and looks again: it is the turn of others.
+    /// Wait this long and call [`SourceSelector::next`] again: other hosts come first.
     Wait(Duration),
-    /// Reads the store.
+    /// Read the store.
     ReadStore,
-    /// Asks the store whether it answers again, and meanwhile a host that is not before it.
+    /// Keep calling the store, and meanwhile poll this host, which doesn't precede it.
     AskForHelp(SocketAddr),
 }
 
-/// What came of the questions to a host since there was last something to go on.
+/// Result of polling a host that isn't followed.
 #[derive(Debug, Clone, Copy)]
-struct Asked {
-    /// When it was first asked.
-    since: Instant,
-    /// It is not asked again before this.
-    again: Instant,
-    /// The pause before that.
-    pause: Duration,
-    /// Whether it counts as away until then.
-    away: bool,
+struct PollResult {
+    /// When it was first polled.
+    first_polled: Instant,
+    /// It is not polled again before this time.
+    next_poll: Instant,
+    /// The backoff that ends then.
+    backoff: Duration,
+    /// Whether it counts as unreachable until then.
+    unreachable: bool,
 }
 
-/// What one host remembers of the others as sources.
+/// Selects sources by the results of earlier polls.
 #[derive(Debug, Default)]
 pub struct SourceSelector {
-    asked: BTreeMap<HostId, Asked>,
-    /// Hosts before this one that asked the store without success, and until when that counts.
-    trying: BTreeMap<HostId, Instant>,
+    polled: BTreeMap<HostId, PollResult>,
+    /// Preceding hosts that call a store that doesn't answer them, and until when that counts.
+    retrying: BTreeMap<HostId, Instant>,
     no_help: BTreeMap<SocketAddr, Instant>,
 }
 
 impl SourceSelector {
-    /// What to do now. `lost` tells that the store, which this host asks, gives it no answers; `pick` takes one of several.
+    /// What to do now. `lost` is true if this host calls the store without getting answers; `pick` chooses one of several addresses.
     pub fn next(
         &mut self,
         now: Instant,
@@ -142,43 +142,48 @@
         lost: bool,
         pick: impl Fn(&[SocketAddr]) -> Option<SocketAddr>,
     ) -> Action {
-        self.trying.retain(|_, until| now < *until);
+        self.retrying.retain(|_, until| now < *until);
         self.no_help.retain(|_, until| now < *until);
-        let there = self.there(now, &neighbours.before);
-        if let Some(host) = there.iter().find(|(host, _)| self.again(host) <= Some(now)) {
+        let reachable = self.reachable(now, &neighbours.before);
+        if let Some(host) = reachable.iter().find(|(host, _)| self.next_poll(host) <= Some(now)) {
             return Action::Ask((*host).clone());
         }
-        let trying = there.iter().filter(|(host, _)| self.trying.contains_key(host)).count();
-        let turn = self.turn(&there).filter(|turn| now < *turn);
-        if trying >= MAX_RETRYING_HOSTS || turn.is_some() {
-            let again = there.iter().filter_map(|(host, _)| self.again(host)).min();
-            let until = again.into_iter().chain(turn).min().unwrap_or(now);
+        let retrying =
+            reachable.iter().filter(|(host, _)| self.retrying.contains_key(host)).count();
+        let turn = self.turn(&reachable).filter(|turn| now < *turn);
+        if retrying >= MAX_RETRYING_HOSTS || turn.is_some() {
+            let next_poll = reachable.iter().filter_map(|(host, _)| self.next_poll(host)).min();
+            let until = next_poll.into_iter().chain(turn).min().unwrap_or(now);
             return Action::Wait(until.saturating_duration_since(now));
         }
         let help = if lost { pick(&self.helpers(neighbours)) } else { None };
         help.map_or(Action::ReadStore, Action::AskForHelp)
     }
 
-    /// The first hosts of those before this one, without those that are away.
-    fn there<'a>(&self, now: Instant, before: &'a [Neighbour]) -> Vec<&'a Neighbour> {
-        let is_away = |host: &HostId| {
-            self.asked.get(host).is_some_and(|asked| asked.away && now < asked.again)
+    /// The first preceding hosts that are not known to be unreachable.
+    fn reachable<'a>(&self, now: Instant, before: &'a [Neighbour]) -> Vec<&'a Neighbour> {
+        let is_unreachable = |host: &HostId| {
+            self.polled.get(host).is_some_and(|polled| polled.unreachable && now < polled.next_poll)
         };
-        before.iter().filter(|(host, _)| !is_away(host)).take(ASKED).collect()
+        before.iter().filter(|(host, _)| !is_unreachable(host)).take(POLLED_HOSTS).collect()
     }
 
-    /// When a host may be asked next; `None`, which is before any time, if it was not asked yet.
-    fn again(&self, host: &HostId) -> Option<Instant> {
-        self.asked.get(host).map(|asked| asked.again)
+    /// When a host may be polled next; `None`, which compares as earlier than any time, if it was not polled yet.
+    fn next_poll(&self, host: &HostId) -> Option<Instant> {
+        self.polled.get(host).map(|polled| polled.next_poll)
     }
 
-    /// When each of the hosts before this one has had its time to read the store; `None` if there is none.
-    fn turn(&self, there: &[&Neighbour]) -> Option<Instant> {
-        let since = there.iter().filter_map(|(host, _)| Some(self.asked.get(host)?.since));
-        (1..).zip(since).map(|(place, since)| since + TURN * place).max()
+    /// When every preceding host has had its time to become a reader; `None` if there is none.
+    fn turn(&self, reachable: &[&Neighbour]) -> Option<Instant> {
+        let first_polled =
+            reachable.iter().filter_map(|(host, _)| Some(self.polled.get(host)?.first_polled));
+        (1..)
+            .zip(first_polled)
+            .map(|(place, first_polled)| first_polled + READER_TURN * place)
+            .max()
     }
 
-    /// Hosts that are asked while the store turns this one away: of its own domain first, since what others say crosses its border.
+    /// Hosts to poll while the store doesn't answer this one: those of its own domain first, to avoid traffic between domains.
     fn helpers(&self, neighbours: &Neighbours) -> Vec<SocketAddr> {
         let is_open = |addr: &SocketAddr| !self.no_help.contains_key(addr);
         let near = neighbours.after.iter().take(MAX_RETRYING_HOSTS).map(|(_, addr)| *addr);
@@ -189,7 +194,7 @@
         neighbours.far.values().flatten().map(|(_, addr)| *addr).filter(is_open).collect()
     }
 
-    /// A host before this one has answered. Returns whether this one goes on with it. `reads_store` tells whether the store answers this one.
+    /// A preceding host has answered. Returns whether this host follows it. `reads_store` is true if the store answers this host.
     pub fn on_answer(
         &mut self,
         host: &HostId,
@@ -198,49 +203,55 @@
         now: Instant,
     ) -> bool {
         if answer.can_be_followed(reads_store) {
-            self.asked.remove(host);
-            self.trying.remove(host);
+            self.polled.remove(host);
+            self.retrying.remove(host);
             return true;
         }
         if answer.asks_store {
-            self.trying.insert(host.clone(), now + 2 * LONGEST_PAUSE);
+            self.retrying.insert(host.clone(), now + 2 * MAX_BACKOFF);
         }
-        let known = self.asked.get(host).filter(|asked| !asked.away);
-        let since = known.map_or(now, |asked| asked.since);
-        let may_become_reader = now < since + TURN * (ASKED as u32 + 1);
-        let pause = match known {
-            Some(asked) if !may_become_reader => (asked.pause * 2).min(LONGEST_PAUSE),
-            _ => FIRST_PAUSE,
+        let known = self.polled.get(host).filter(|polled| !polled.unreachable);
+        let first_polled = known.map_or(now, |polled| polled.first_polled);
+        let may_become_reader = now < first_polled + READER_TURN * (POLLED_HOSTS as u32 + 1);
+        let backoff = match known {
+            Some(polled) if !may_become_reader => (polled.backoff * 2).min(MAX_BACKOFF),
+            _ => INITIAL_BACKOFF,
         };
-        self.asked.insert(host.clone(), Asked { since, again: now + pause, pause, away: false });
+        self.polled.insert(
+            host.clone(),
+            PollResult { first_polled, next_poll: now + backoff, backoff, unreachable: false },
+        );
         false
     }
 
-    /// A host before this one gave no answer.
+    /// A request to a preceding host failed.
     pub fn on_no_answer(&mut self, host: &HostId, why: NoAnswer, now: Instant) {
-        self.trying.remove(host);
-        let known = self.asked.get(host);
-        let since = known.map_or(now, |asked| asked.since);
-        let was_away = known.filter(|asked| asked.away);
-        let (pause, away) = match (why, known) {
-            // It may be about to start. If it still doesn't listen at the next question, the hosts behind it have their turn.
+        self.retrying.remove(host);
+        let known = self.polled.get(host);
+        let first_polled = known.map_or(now, |polled| polled.first_polled);
+        let was_unreachable = known.filter(|polled| polled.unreachable);
+        let (backoff, unreachable) = match (why, known) {
+            // It may be starting. If the next connection is refused too, the next host in the order takes its place.
             (NoAnswer::Refused, None) => (REFUSED_PAUSE, false),
-            _ => match was_away {
-                Some(asked) => ((asked.pause * 2).min(LONGEST_SILENT_PAUSE), true),
-                None => (FIRST_SILENT_PAUSE, true),
+            _ => match was_unreachable {
+                Some(polled) => ((polled.backoff * 2).min(MAX_UNREACHABLE_BACKOFF), true),
+                None => (INITIAL_UNREACHABLE_BACKOFF, true),
             },
         };
-        self.asked.insert(host.clone(), Asked { since, again: now + pause, pause, away });
+        self.polled.insert(
+            host.clone(),
+            PollResult { first_polled, next_poll: now + backoff, backoff, unreachable },
+        );
     }
 
-    /// A host that was asked for help could give none.
+    /// A host that was polled for help had no fresher data.
     pub fn on_no_help(&mut self, addr: SocketAddr, now: Instant) {
-        self.no_help.insert(addr, now + HELP_AGAIN);
+        self.no_help.insert(addr, now + HELP_RETRY_PAUSE);
     }
 
-    /// There is nothing to go on any more: what was found of others before is old, but for those that are away.
+    /// The followed host was lost. Earlier results of polling other hosts are outdated, except for unreachable ones.
     pub fn on_lost(&mut self) {
-        self.asked.retain(|_, asked| asked.away);
-        self.trying.clear();
+        self.polled.retain(|_, polled| polled.unreachable);
+        self.retrying.clear();
     }
 }
--- a/crates/jacinthbeam-host/src/process/peers/update.rs
+++ b/crates/jacinthbeam-host/src/process/peers/update.rs
@@ -1,4 +1,4 @@
-//! What one host knows of the store and another doesn't yet.
+//! Messages by which one host requests from another what is new in the store.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -11,57 +11,57 @@
 use super::HostEntry;
 use crate::process::{evacuation::EvacuationUpdate, map_history::MapUpdate};
 
-/// What the asking host knows.
+/// What the requesting host has already, by which the other one selects what is new.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpdateRequest {
     /// Version of its configuration.
     pub config: Option<ConfigVersion>,
-    /// Everything of evacuations before this offset.
+    /// It has all evacuation records before this offset.
     pub evacuations_end: Offset,
-    /// Everything of the backend servers' entries before this offset.
+    /// It has all entries of backend servers before this offset.
     pub servers_end: Offset,
-    /// Everything of the hosts' entries before this offset.
+    /// It has all entries of hosts before this offset.
     pub hosts_end: Offset,
     /// Epoch and version of each ownership map.
     pub maps: BTreeMap<ServiceName, Revision>,
-    /// What it tells of servers that ended, and how much it knows of that.
+    /// Crash facts that it sends, and how many of the other host's it has.
     pub crashes: Option<exchange::Question>,
-    /// Whether it asks for nothing else: it reads the store itself, and what it reads is as new.
+    /// Whether it requests crash facts only, because it reads everything else from the store itself.
     pub only_crashes: bool,
-    /// Longest wait if there is nothing newer.
+    /// How long the answer may be held back if there is nothing new.
     pub wait: Duration,
 }
 
-/// What is newer than that.
+/// What is newer than the state described in an [`UpdateRequest`].
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct StateUpdate {
-    /// How long ago the answering host last heard of the store, by itself or through others.
+    /// Age of the answering host's data: how long ago the store confirmed it, to that host or through others.
     pub age: Duration,
-    /// Hosts that these news have passed before the answering one: 0 if it reads the store itself, and the store answers it.
+    /// Number of hosts that the data passed before the answering one: 0 if that one reads the store itself and the store answers.
     pub steps: u8,
-    /// Whether the answering host asks the store itself, answered or not.
+    /// Whether the answering host calls the store itself, answered or not.
     pub asks_store: bool,
     /// How long the answer was held back until there was something new.
     pub waited: Duration,
-    /// No newer configuration had been acknowledged so long ago; `None` if nothing is known of it.
+    /// Age of the configuration: this long ago no newer one had been acknowledged; `None` if that is unknown.
     pub config_age: Option<Duration>,
     /// A newer configuration.
     pub config: Option<Config>,
-    /// What is newer of evacuations.
+    /// Newer evacuation records.
     pub evacuations: Vec<EvacuationUpdate>,
     /// Newer entries of backend servers.
     pub servers: Vec<ServerUpdate>,
-    /// Everything before this offset is known after them.
+    /// With these, all entries of backend servers before this offset are known.
     pub servers_end: Offset,
-    /// Whether `servers` are all there are, since what has left meanwhile is no longer known.
+    /// Whether `servers` is the complete list, because the answering host has already forgotten entries that have left since.
     pub all_servers: bool,
     /// Newer entries of hosts.
     pub hosts: Vec<(HostId, Offset, HostEntry)>,
-    /// Everything before this offset is known after them.
+    /// With these, all entries of hosts before this offset are known.
     pub hosts_end: Offset,
     /// Newer ownership maps.
     pub maps: Vec<(ServiceName, MapUpdate)>,
-    /// What is new of servers that ended, and of the requests that they were running.
+    /// New crash facts.
     pub crashes: Option<exchange::Answer>,
 }
 
@@ -72,14 +72,14 @@
     pub name: ServerName,
     /// Offset of its record.
     pub offset: Offset,
-    /// What it says; `None` if the server has left.
+    /// The entry; `None` if the server has left.
     pub server: Option<Server>,
-    /// If the server leaves, or has left: how long before the answer the store took the word of it, at the most.
+    /// If the server is leaving or has left: upper bound on how long before the answer the store accepted the record of that.
     pub leaving_for: Option<Duration>,
 }
 
 impl StateUpdate {
-    /// Whether there is nothing newer.
+    /// Whether it contains nothing new.
     pub fn is_empty(&self) -> bool {
         self.config.is_none()
             && self.evacuations.is_empty()
@@ -90,20 +90,20 @@
     }
 }
 
-/// Writes a message between hosts.
+/// Encodes a message between hosts.
 pub(crate) fn to_bytes(message: &impl Serialize) -> Vec<u8> {
     let cfg = bincode::config::standard();
     bincode::serde::encode_to_vec(message, cfg)
         .expect("a message has no type that can't be encoded")
 }
 
-/// Longest message between hosts: a configuration of thousands of routes, or ten thousand servers.
-pub(crate) const LONGEST: usize = 4 << 20;
+/// Largest message between hosts, in bytes: a configuration of thousands of routes, or ten thousand servers.
+pub(crate) const MAX_MESSAGE_BYTES: usize = 4 << 20;
 
-/// Reads a message between hosts.
+/// Decodes a message between hosts.
 pub(crate) fn from_bytes<T: for<'de> Deserialize<'de>>(
     bytes: &[u8],
 ) -> Result<T, bincode::error::DecodeError> {
-    let cfg = bincode::config::standard().with_limit::<{ LONGEST * 4 }>();
+    let cfg = bincode::config::standard().with_limit::<{ MAX_MESSAGE_BYTES * 4 }>();
     Ok(bincode::serde::decode_from_slice(bytes, cfg)?.0)
 }
