--- a/crates/jacinthbeam-host/src/process/membership/machine.rs
+++ b/crates/jacinthbeam-host/src/process/membership/machine.rs
@@ -1,4 +1,4 @@
-//! States and transitions.
+//! States and transitions of a membership.
 
 use std::cell::Cell;
 
@@ -6,7 +6,7 @@
 
 use super::{Event, Next, Notice};
 
-/// What is remembered across states.
+/// Data shared by all states.
 #[derive(Debug, Default)]
 pub(super) struct Machine {
     pub(super) next: Next,
@@ -15,18 +15,18 @@
 }
 
 impl Machine {
-    /// Says that it leaves. A join that got no answer may be in force, so this is said in any state.
-    fn say_leave(&mut self) {
+    /// Requests a leave call. An unanswered join may have taken effect, so this is necessary in every state that joins.
+    fn request_leave(&mut self) {
         self.next = Next::Leave;
         self.generation = 0;
     }
 }
 
-#[state_machine(initial = "State::resting()", state(derive(Debug)))]
+#[state_machine(initial = "State::paused()", state(derive(Debug)))]
 impl Machine {
     /// No join was answered yet.
-    #[state(superstate = "taking_part")]
-    fn apart(&mut self, event: &Event) -> Outcome<State> {
+    #[state(superstate = "participating")]
+    fn joining(&mut self, event: &Event) -> Outcome<State> {
         match event {
             Event::Joined(generation) => {
                 self.generation = *generation;
@@ -34,14 +34,14 @@
             }
             Event::Failed => {
                 self.notice.set(Some(Notice::Lost));
-                Transition(State::out_of_reach())
+                Transition(State::unreachable())
             }
             Event::Due { .. } => Super,
         }
     }
 
-    /// The store answers.
-    #[state(superstate = "taking_part")]
+    /// The last join was answered.
+    #[state(superstate = "participating")]
     fn member(&mut self, event: &Event) -> Outcome<State> {
         match event {
             Event::Joined(generation) => {
@@ -50,15 +50,15 @@
             }
             Event::Failed => {
                 self.notice.set(Some(Notice::Lost));
-                Transition(State::out_of_reach())
+                Transition(State::unreachable())
             }
             Event::Due { .. } => Super,
         }
     }
 
-    /// The last word got no answer.
-    #[state(superstate = "taking_part")]
-    fn out_of_reach(&mut self, event: &Event) -> Outcome<State> {
+    /// The last join failed.
+    #[state(superstate = "participating")]
+    fn unreachable(&mut self, event: &Event) -> Outcome<State> {
         match event {
             Event::Joined(generation) => {
                 self.generation = *generation;
@@ -70,9 +70,9 @@
         }
     }
 
-    /// The host takes no part: not yet, or not for a while.
+    /// The host is not in the group: not yet, or paused.
     #[state]
-    fn resting(&mut self, event: &Event) -> Outcome<State> {
+    fn paused(&mut self, event: &Event) -> Outcome<State> {
         match event {
             Event::Due { leaving: true, .. } => {
                 self.next = Next::End;
@@ -84,7 +84,7 @@
             }
             Event::Due { .. } => {
                 self.next = Next::Join(0);
-                Transition(State::apart())
+                Transition(State::joining())
             }
             Event::Joined(_) | Event::Failed => Handled,
         }
@@ -97,17 +97,17 @@
         Handled
     }
 
-    /// What is alike wherever a host takes part.
+    /// Handles what is the same in all states that join.
     #[superstate]
-    fn taking_part(&mut self, event: &Event) -> Outcome<State> {
+    fn participating(&mut self, event: &Event) -> Outcome<State> {
         match event {
             Event::Due { leaving: true, .. } => {
-                self.say_leave();
+                self.request_leave();
                 Transition(State::left())
             }
             Event::Due { paused: true, .. } => {
-                self.say_leave();
-                Transition(State::resting())
+                self.request_leave();
+                Transition(State::paused())
             }
             Event::Due { .. } => {
                 self.next = Next::Join(self.generation);
--- a/crates/jacinthbeam-host/src/process/membership/mod.rs
+++ b/crates/jacinthbeam-host/src/process/membership/mod.rs
@@ -1,7 +1,7 @@
-//! A host's part in the group that shares the duties out: when it joins, stays, rests and leaves. No I/O.
+//! A host's membership in the group that assigns duties: when it joins, renews, pauses and leaves. No I/O.
 //!
-//! Joining is also the sign of life: without it the store gives the duties to others. A host that can't reach the store stays a
-//! member as far as it knows, since its duties are advice, and the right to grant is proved elsewhere.
+//! A join also serves as the heartbeat: without it the store assigns the host's duties to others. A host that can't reach the store goes on
+//! as a member, since a duty is only a hint: the right to grant is fenced separately.
 
 pub mod lease;
 mod machine;
@@ -15,37 +15,37 @@
 use machine::Machine;
 pub use standby::Standby;
 
-/// What has happened.
+/// An event for the state machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Event {
-    /// It is time for the next word to the store.
+    /// It is time for the next call to the store.
     Due {
-        /// The host takes no duty for a while.
+        /// Whether the host stays out of the group for now.
         paused: bool,
-        /// The host takes no duty any more.
+        /// Whether the host leaves the group for good.
         leaving: bool,
     },
     /// The store answered a join, with the group's generation.
     Joined(u64),
-    /// A join got no answer, or a refusal.
+    /// A join got no answer or was refused.
     Failed,
 }
 
-/// What to say to the store next.
+/// The next call to the store.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Next {
-    /// Nothing now.
+    /// None now.
     #[default]
     Nothing,
-    /// Join, or stay, by the last generation heard of.
+    /// Join or renew, with the latest known generation of the group; 0 for a new membership.
     Join(u64),
     /// Leave.
     Leave,
-    /// Nothing any more.
+    /// None any more: the membership has ended.
     End,
 }
 
-/// What changed for whoever reads the log.
+/// A change that is worth a log line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Notice {
     /// The store does not answer.
@@ -54,7 +54,7 @@
     Regained,
 }
 
-/// The membership of one life of a process.
+/// The membership of one incarnation of a process.
 pub struct Membership(StateMachine<Machine>);
 
 impl fmt::Debug for Membership {
@@ -70,17 +70,17 @@
 }
 
 impl Membership {
-    /// Takes an event.
+    /// Handles an event.
     pub fn handle(&mut self, event: Event) {
         self.0.handle(&event);
     }
 
-    /// What to say to the store now.
+    /// The call to make to the store now.
     pub fn next(&self) -> Next {
         self.0.next
     }
 
-    /// Takes what is worth a line of the log.
+    /// Returns and clears the notice to log.
     pub fn take_notice(&self) -> Option<Notice> {
         self.0.notice.take()
     }
--- a/crates/jacinthbeam-host/src/process/membership/standby.rs
+++ b/crates/jacinthbeam-host/src/process/membership/standby.rs
@@ -1,8 +1,9 @@
-//! Which hosts take the duty to grant, where hosts differ. No I/O.
+//! Decides which hosts are standbys for the duty to grant, by their share of a processor. No I/O.
 //!
-//! The group shares duties out evenly and knows nothing of the hosts. A host that grants the keys of some hundred servers makes a thousand
-//! calls a second; with a tenth of a core it could make some 900 and do nothing else (1,800 were seen of a host with a fifth), its right to grant lapses in the middle of its rounds, and it
-//! has no time for what the store says. Hosts with less processor therefore take part only when those with more are silent.
+//! The group assigns duties evenly, without regard to the hosts. A host that grants the keys of some hundred servers makes a thousand calls a
+//! second. A host with a tenth of a core could make some 900 calls and do nothing else (1,800 were measured with a fifth of a core): its right
+//! to grant expires in the middle of a round, and it falls behind on updates from the store. Hosts with less processor therefore join only when
+//! no heartbeat arrives from a granting host.
 
 use std::{
     collections::BTreeSet,
@@ -11,39 +12,39 @@
 
 use jacinthbeam_types::prelude::*;
 
-/// Hosts that take duties at the least, if there are so many: some may be away, and a duty must find another.
-const FEWEST: usize = 6;
+/// Smallest number of hosts that take duties, if the fleet has that many: some may be unreachable, and a duty needs another host then.
+const MIN_HOSTS: usize = 6;
 
-/// Failure domains that these hosts are in at the least, if there are so many, so that the loss of one leaves somebody.
-const FEWEST_DOMAINS: usize = 2;
+/// Smallest number of failure domains of these hosts, if the fleet has that many, so that the loss of one leaves a host with duties.
+const MIN_DOMAINS: usize = 2;
 
-/// Silence of all granting hosts after which any host takes part. A duty changes hands within some 3 s, and a failure domain that is cut off
-/// from a granting host for less than this takes none from it.
-const STAND_IN_AFTER: Duration = Duration::from_secs(8);
+/// Time without a heartbeat from any granting host after which every host takes duties. A handover of duties takes some 3 s, and a failure
+/// domain that is partitioned from a granting host for less than this takes no duty from it.
+const TAKEOVER_AFTER: Duration = Duration::from_secs(8);
 
-/// A process that knows few hosts yet waits for so long before it counts them: all hosts that start together have said where they are.
-const MEET_WITHIN: Duration = Duration::from_secs(1);
+/// Time that a process which knows few hosts stays a standby after its start, until all hosts that start with it have registered.
+const DISCOVERY_TIME: Duration = Duration::from_secs(1);
 
-/// The part of one life of a process.
+/// Standby state of one incarnation of a process.
 #[derive(Debug, Clone, Copy)]
 pub struct Standby {
-    begun: Instant,
-    /// The last word of another host that grants.
-    word: Option<Instant>,
+    started: Instant,
+    /// The latest heartbeat of another granting host.
+    heartbeat: Option<Instant>,
 }
 
 impl Standby {
     /// A process that starts now.
     pub fn new(now: Instant) -> Self {
-        Self { begun: now, word: None }
+        Self { started: now, heartbeat: None }
     }
 
-    /// Another host has said that it grants.
+    /// A heartbeat arrived from another granting host.
     pub fn on_grantor_heartbeat(&mut self, now: Instant) {
-        self.word = Some(now);
+        self.heartbeat = Some(now);
     }
 
-    /// Whether a host with so much processor leaves duties to others. `fleet` are all hosts.
+    /// Whether a host with the processor share `own` is a standby. `fleet` lists all hosts.
     pub fn stands_by<'a>(
         &self,
         now: Instant,
@@ -51,21 +52,21 @@
         fleet: impl Iterator<Item = (&'a FailureDomain, Millicores)>,
     ) -> bool {
         let fleet: Vec<_> = fleet.collect();
-        if fleet.len() < FEWEST && now < self.begun + MEET_WITHIN {
+        if fleet.len() < MIN_HOSTS && now < self.started + DISCOVERY_TIME {
             return true;
         }
-        let silent_since = self.word.map_or(self.begun, |at| at.max(self.begun));
-        own < enough(fleet) && now < silent_since + STAND_IN_AFTER
+        let silent_since = self.heartbeat.map_or(self.started, |at| at.max(self.started));
+        own < min_processor(fleet) && now < silent_since + TAKEOVER_AFTER
     }
 }
 
-/// The processor of a host that takes duties, at the least.
-fn enough(mut fleet: Vec<(&FailureDomain, Millicores)>) -> Millicores {
+/// The smallest processor share of a host that takes duties.
+fn min_processor(mut fleet: Vec<(&FailureDomain, Millicores)>) -> Millicores {
     fleet.sort_by_key(|(_, processor)| std::cmp::Reverse(*processor));
     let mut domains = BTreeSet::new();
     for (n, (domain, processor)) in fleet.iter().enumerate() {
         domains.insert(*domain);
-        if n + 1 >= FEWEST && domains.len() >= FEWEST_DOMAINS {
+        if n + 1 >= MIN_HOSTS && domains.len() >= MIN_DOMAINS {
             return *processor;
         }
     }
--- a/crates/jacinthbeam-host/src/process/replica/hosts.rs
+++ b/crates/jacinthbeam-host/src/process/replica/hosts.rs
@@ -1,4 +1,4 @@
-//! The hosts of the fleet, and the place of one among them.
+//! The hosts of the fleet, and the position of one among them.
 
 use jacinthbeam_crash::probe::Rank;
 use jacinthbeam_dispatch::{slow_start, subset::Position};
@@ -9,12 +9,12 @@
 use crate::process::peers::HostEntry;
 
 impl StoreReplica {
-    /// The hosts and where they are.
+    /// The hosts and their entries.
     pub fn hosts(&self) -> impl Iterator<Item = (&HostId, &HostEntry)> {
         self.hosts.iter().map(|(host, (_, entry))| (host, entry))
     }
 
-    /// The place of a host in the list of hosts.
+    /// The rank of a host in the list of all hosts.
     pub fn rank(&self, host: &HostId) -> Rank {
         match self.hosts.contains_key(host) {
             true => Rank {
@@ -25,7 +25,7 @@
         }
     }
 
-    /// The place of a host among those of its failure domain.
+    /// The position of a host among those of its failure domain.
     pub fn place(&self, host: &HostId) -> Position {
         let Some((_, own)) = self.hosts.get(host) else { return Position::default() };
         let near = self.hosts.iter().filter(|(_, (_, entry))| entry.domain == own.domain);
@@ -33,7 +33,7 @@
         Position { index: near.take_while(|(other, _)| *other < host).count() as u32, hosts: among }
     }
 
-    /// Takes the record of a host. Returns whether it is newer.
+    /// Applies the record of a host. Returns whether it is newer than the known one.
     pub fn apply_host(&mut self, host: HostId, offset: Offset, entry: HostEntry) -> bool {
         let newer = self.hosts.get(&host).is_none_or(|(known, _)| *known < offset);
         if newer {
@@ -42,12 +42,13 @@
         newer
     }
 
-    /// Takes note that everything of the hosts before `end` is known.
+    /// Notes that all records of hosts before `end` have been applied.
     pub fn mark_hosts_current(&mut self, end: Offset) {
         self.hosts_end = self.hosts_end.max(end);
     }
 
-    /// Whether a host is one of the `senders` of a cold server among the hosts of the server's failure domain, or among all if it has none.
+    /// Whether a host is one of the `senders` that are selected for a cold server, out of the hosts of the server's failure domain, or out of
+    /// all hosts if that domain has none.
     pub fn is_sender(&self, host: &HostId, server: &Server, senders: usize) -> bool {
         let is_near = |entry: &HostEntry| entry.domain == server.domain;
         let any_near = self.hosts().any(|(_, entry)| is_near(entry));
--- a/crates/jacinthbeam-host/src/process/replica/listing.rs
+++ b/crates/jacinthbeam-host/src/process/replica/listing.rs
@@ -1,4 +1,4 @@
-//! The list of servers that requests and grants go by: the entries, and what the operator says of their failure domains and services.
+//! The list of servers for requests and grants, derived from the servers' entries, the configuration and the evacuations.
 
 use std::{
     sync::Arc,
@@ -12,8 +12,8 @@
 use crate::version::Leaving;
 
 impl StoreReplica {
-    /// Makes the list that requests and grants see, of the entries and of what the operator and the configuration say of their domains and
-    /// services.
+    /// Rebuilds the list of servers. Servers of an evacuated domain are draining; servers are cold until they have warmed up, and again after the
+    /// end of an evacuation if their service has slow start.
     pub(super) fn list_servers(&mut self, now: Instant) {
         let mut list = Servers::default();
         self.cold.clear();
@@ -41,7 +41,7 @@
         self.leaving = Arc::new(self.servers.values().filter_map(leaving).collect());
     }
 
-    /// Whether a server that is listed as cold is so no more, and what the list says of it has been brought up to date.
+    /// Rebuilds the list if a cold server has become warm. Returns whether one has.
     pub fn expire_cold_servers(&mut self, now: Instant) -> bool {
         let is_over = self.cold.values().any(|until| *until <= now);
         if is_over {
@@ -50,7 +50,7 @@
         is_over
     }
 
-    /// Cold servers whose service bounds what they get, and until when they are cold.
+    /// Cold servers whose service limits their rate of requests, with that rate and the time at which they are warm.
     pub fn cold(&self) -> impl Iterator<Item = (&Server, Rate, Instant)> {
         self.cold.iter().filter_map(|(id, until)| {
             let server = self.list.get(id)?;
@@ -58,7 +58,7 @@
         })
     }
 
-    /// Takes the operator's record of a failure domain's evacuation, or that it was removed. Returns whether it is news.
+    /// Applies the operator's record of a failure domain's evacuation, or its removal. Returns whether it is newer than the known one.
     pub fn apply_evacuation(
         &mut self,
         domain: FailureDomain,
@@ -70,7 +70,7 @@
         self.evacuations.take(domain, offset, evacuated, bound, now)
     }
 
-    /// Takes back what a whole list of evacuations lacks. Returns whether there was any.
+    /// Ends the evacuations that a complete list lacks. Returns whether there were any.
     pub fn retain_evacuations(
         &mut self,
         listed: &[FailureDomain],
@@ -80,7 +80,7 @@
         self.evacuations.retain_listed(listed, end, now)
     }
 
-    /// Makes the list of servers anew after a change of evacuations or of the configuration.
+    /// Rebuilds the list of servers after a change of evacuations or of the configuration.
     pub fn on_operator_changed(&mut self, now: Instant) {
         if self.servers_changed.is_some() {
             self.list_servers(now);
--- a/crates/jacinthbeam-host/src/process/replica/mod.rs
+++ b/crates/jacinthbeam-host/src/process/replica/mod.rs
@@ -1,7 +1,7 @@
-//! What this host knows of the store, from whichever source it came. No I/O.
+//! This host's replica of the store's data. No I/O.
 //!
-//! Records may come from the store itself and from other hosts, in any order and more than once. Each carries the offset at
-//! which the store keeps it, or a version, so that the newer one always wins and nothing ever goes back.
+//! Records may arrive from the store itself and from other hosts, in any order and more than once. Each carries its offset in the store, or
+//! a version, so that the newest one always wins and the replica never goes back.
 
 mod hosts;
 mod listing;
@@ -31,62 +31,61 @@
     version::{Leaving, View},
 };
 
-/// A server that has left the list is remembered for this long: longer than other hosts may be behind, and than any use of
-/// its having left.
-const LEFT_FOR: Duration = Duration::from_secs(30);
+/// How long a server that has left the list is remembered: longer than other hosts may lag behind, and longer than the fact matters.
+const LEFT_RETENTION: Duration = Duration::from_secs(30);
 
 /// The newest record of one backend server.
 #[derive(Debug, Clone)]
 struct Entry {
     offset: Offset,
-    /// The latest life that was listed under the name.
+    /// The latest incarnation that was listed under the name.
     life: ServerId,
     server: Option<Server>,
-    /// When the store took the word that the server is leaving, or has left.
+    /// When the store accepted the record that the server is leaving or has left.
     leaving: Option<Leaving>,
     /// When the server will be warm; `None` unless it is cold.
     warm_at: Option<Instant>,
 }
 
-/// Everything that this host knows.
+/// A replica of the store's data.
 #[derive(Debug, Default)]
 pub struct StoreReplica {
     config: Option<Arc<Config>>,
-    /// No newer configuration had been acknowledged before this moment.
+    /// No newer configuration had been acknowledged before this time.
     config_as_of: Option<Instant>,
     evacuations: Evacuations,
     servers: BTreeMap<ServerName, Entry>,
     servers_end: Offset,
-    /// Everything that the store had taken of the servers before this moment is known.
+    /// All records of servers that the store accepted before this time have been applied.
     servers_as_of: Option<Instant>,
-    /// Entries that left before this offset may have been forgotten.
+    /// Servers that left before this offset may have been forgotten.
     forgotten_before: Offset,
-    /// When a server last came, left or changed; `None` until the list was read.
+    /// When a server was last added, removed or changed; `None` until the list was read.
     servers_changed: Option<Instant>,
     hosts: BTreeMap<HostId, (Offset, HostEntry)>,
     hosts_end: Offset,
     maps: BTreeMap<ServiceName, MapHistory>,
-    /// The list that requests see, made anew at each change.
+    /// The list of servers for requests, rebuilt at each change.
     list: Arc<Servers>,
     leaving: Arc<BTreeMap<ServerId, Leaving>>,
-    /// Servers of the list that are cold, and until when.
+    /// Cold servers of the list, and when they are warm.
     cold: BTreeMap<ServerId, Instant>,
-    /// Requests under which servers have ended, as of the last [`StoreReplica::set_suspects`].
+    /// Requests with crash evidence, as of the last [`StoreReplica::set_suspects`].
     suspects: Arc<Suspects>,
     /// Changes of servers that are not logged yet.
     lines: ServerLines,
 }
 
-/// What a step changed.
+/// What an update changed.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct Changed {
-    /// There is another configuration.
+    /// The configuration was replaced.
     pub config: bool,
-    /// A backend server came, left or changed.
+    /// A backend server was added, removed or changed.
     pub servers: bool,
-    /// A host came or moved.
+    /// A host was added or its entry changed.
     pub hosts: bool,
-    /// There is another ownership map.
+    /// An ownership map was replaced.
     pub maps: bool,
 }
 
@@ -103,12 +102,12 @@
         self.config.as_ref()
     }
 
-    /// The moment before which no newer configuration had been acknowledged.
+    /// The time before which no newer configuration had been acknowledged.
     pub fn config_as_of(&self) -> Option<Instant> {
         self.config_as_of
     }
 
-    /// Takes note that no other configuration than what was taken had been acknowledged before `as_of`.
+    /// Notes that no configuration newer than the applied one had been acknowledged before `as_of`.
     pub fn mark_config_current(&mut self, as_of: Instant) {
         self.config_as_of = self.config_as_of.max(Some(as_of));
     }
@@ -128,7 +127,7 @@
         self.maps.get(service).map(|map| &**map.newest())
     }
 
-    /// What requests are decided by.
+    /// A view for the traffic thread.
     pub fn view(&self) -> View {
         let newest =
             |(service, map): (&ServiceName, &MapHistory)| (service.clone(), map.newest().clone());
@@ -146,12 +145,12 @@
         }
     }
 
-    /// Replaces the requests under which servers have ended.
+    /// Replaces the requests with crash evidence.
     pub fn set_suspects(&mut self, suspects: Suspects) {
         self.suspects = Arc::new(suspects);
     }
 
-    /// Takes a configuration. Returns whether it is newer and sound.
+    /// Applies a configuration. Returns whether it is newer than the known one and valid.
     pub fn apply_config(&mut self, cfg: Config) -> bool {
         let known = self.config.as_ref().map(|cfg| cfg.version);
         if known.is_some_and(|known| cfg.version <= known) {
@@ -166,8 +165,8 @@
         true
     }
 
-    /// Takes the record of a server, `None` if it has left. If it says that the server leaves, the store took it after `bound`.
-    /// Returns whether it changed anything.
+    /// Applies the record of a server, `None` if it has left. If the record says that the server is leaving, the store accepted it after `bound`.
+    /// Returns whether the list of servers changed.
     pub fn apply_server(
         &mut self,
         name: ServerName,
@@ -179,7 +178,7 @@
             let changed = server.is_some();
             let life = server.as_ref().map_or_else(|| name.clone().into(), |s| s.id.clone());
             self.lines.add(&life, None, server.as_ref());
-            let leaving = leaves(server.as_ref()).then_some(bound);
+            let leaving = is_leaving(server.as_ref()).then_some(bound);
             self.servers.insert(name, Entry { offset, life, server, leaving, warm_at: None });
             return changed;
         };
@@ -187,7 +186,7 @@
             return false;
         }
         before.offset = offset;
-        // A heartbeat that an earlier life had sent may be kept after the first one of the next life.
+        // The store may accept a late heartbeat of an earlier incarnation after the first one of the next incarnation.
         if server.as_ref().is_some_and(|server| server.id.born() < before.life.born()) {
             tracing::info!(part = "servers", event = "late-entry", server = %name, of = ?server.map(|s| s.id.to_string()));
             return false;
@@ -195,10 +194,10 @@
         self.lines.add(&before.life, before.server.as_ref(), server.as_ref());
         let changed = before.server != server;
         let life = server.as_ref().map_or_else(|| before.life.clone(), |server| server.id.clone());
-        // An entry that had lapsed and is back belongs to a server that lives and goes on; the word of an earlier life that it
-        // was leaving says nothing of the present one.
+        // An expired entry that reappears belongs to a server that is still running. That an earlier incarnation was leaving says nothing
+        // about the present one.
         let since = before.leaving.filter(|_| life == before.life).unwrap_or(bound);
-        before.leaving = leaves(server.as_ref()).then_some(since);
+        before.leaving = is_leaving(server.as_ref()).then_some(since);
         before.life = life;
         if changed {
             before.warm_at = None;
@@ -207,12 +206,13 @@
         changed
     }
 
-    /// The moment before which everything that the store took of the servers is known.
+    /// All records of servers that the store accepted before this time have been applied.
     pub fn servers_as_of(&self) -> Option<Instant> {
         self.servers_as_of
     }
 
-    /// Takes note that everything of the servers before `end` is known, and all that the store took before `as_of`.
+    /// Notes that all records of servers before `end`, and all that the store accepted before `as_of`, have been applied. `changed` tells
+    /// whether any of them changed the list.
     pub fn mark_servers_current(
         &mut self,
         end: Offset,
@@ -232,7 +232,7 @@
 
     fn forget(&mut self, now: Instant) {
         let old = |entry: &Entry| {
-            let left = entry.leaving.is_some_and(|leaving| leaving.elapsed(now) >= LEFT_FOR);
+            let left = entry.leaving.is_some_and(|leaving| leaving.elapsed(now) >= LEFT_RETENTION);
             left && entry.server.is_none()
         };
         let forgotten = self.servers.values().filter(|entry| old(entry)).map(|entry| entry.offset);
@@ -240,7 +240,7 @@
         self.servers.retain(|_, entry| !old(entry));
     }
 
-    /// Takes an ownership map. Returns whether it is newer.
+    /// Applies an ownership map. Returns whether it is newer than the known one.
     pub fn apply_map(&mut self, service: ServiceName, map: Map) -> bool {
         if let Some(known) = self.maps.get_mut(&service) {
             return known.take(map);
@@ -249,17 +249,17 @@
         true
     }
 
-    fn apply_map_update(&mut self, service: ServiceName, news: MapUpdate) -> bool {
-        match news {
+    fn apply_map_update(&mut self, service: ServiceName, update: MapUpdate) -> bool {
+        match update {
             MapUpdate::Whole(map) => self.apply_map(service, map),
-            // Changes against a map that this host has no more are of no use; it asks again by the one that it has.
+            // A delta against a map that this host has replaced meanwhile can't be applied; the next request names the present one.
             MapUpdate::Changes(changes) => {
                 self.maps.get_mut(&service).is_some_and(|known| known.take_changes(&changes))
             }
         }
     }
 
-    /// What this host would ask another for.
+    /// A request to another host for everything newer than this replica.
     pub fn update_request(&self, wait: Duration) -> UpdateRequest {
         let revision = |(service, map): (&ServiceName, &MapHistory)| {
             (service.clone(), map.newest().revision())
@@ -276,15 +276,15 @@
         }
     }
 
-    /// What this host knows and the other doesn't.
-    pub fn update_for(&self, asked: &UpdateRequest, age: Duration, now: Instant) -> StateUpdate {
-        let config = self.config.as_ref().filter(|cfg| asked.config < Some(cfg.version));
-        let all_servers = asked.servers_end <= self.forgotten_before;
+    /// What this replica has and the requesting host lacks. `age` is the age of this replica's data.
+    pub fn update_for(&self, request: &UpdateRequest, age: Duration, now: Instant) -> StateUpdate {
+        let config = self.config.as_ref().filter(|cfg| request.config < Some(cfg.version));
+        let all_servers = request.servers_end <= self.forgotten_before;
         let servers =
-            self.servers.iter().filter(|(_, e)| all_servers || e.offset >= asked.servers_end);
-        let hosts = self.hosts.iter().filter(|(_, (offset, _))| *offset >= asked.hosts_end);
+            self.servers.iter().filter(|(_, e)| all_servers || e.offset >= request.servers_end);
+        let hosts = self.hosts.iter().filter(|(_, (offset, _))| *offset >= request.hosts_end);
         let maps = self.maps.iter().filter_map(|(service, map)| {
-            Some((service.clone(), map.update_for(asked.maps.get(service).copied())?))
+            Some((service.clone(), map.update_for(request.maps.get(service).copied())?))
         });
         let entry = |(name, entry): (&ServerName, &Entry)| ServerUpdate {
             name: name.clone(),
@@ -299,7 +299,7 @@
             waited: Duration::ZERO,
             config_age: self.config_as_of.map(|at| now.saturating_duration_since(at)),
             config: config.map(|cfg| (**cfg).clone()),
-            evacuations: self.evacuations.updates(asked.evacuations_end, now),
+            evacuations: self.evacuations.updates(request.evacuations_end, now),
             servers: servers.map(entry).collect(),
             servers_end: self.servers_end,
             all_servers,
@@ -312,45 +312,46 @@
         }
     }
 
-    /// Takes what another host knew at `at`, or later.
-    pub fn apply_update(&mut self, news: StateUpdate, at: Instant) -> Changed {
+    /// Applies an update that another host sent at `at` or later.
+    pub fn apply_update(&mut self, update: StateUpdate, at: Instant) -> Changed {
         let mut changed = Changed::default();
         let bound = Leaving::after(self.servers_as_of);
-        if let Some(cfg) = news.config {
+        if let Some(cfg) = update.config {
             changed.config = self.apply_config(cfg);
         }
         let operator_bound = Leaving::after(self.config_as_of);
-        let evacuations = self.evacuations.take_updates(news.evacuations, operator_bound, at);
-        if let Some(as_of) = news.config_age.and_then(|age| at.checked_sub(age)) {
+        let evacuations = self.evacuations.take_updates(update.evacuations, operator_bound, at);
+        if let Some(as_of) = update.config_age.and_then(|age| at.checked_sub(age)) {
             self.mark_config_current(as_of);
         }
-        if news.all_servers {
-            let listed: Vec<&str> = news.servers.iter().map(|news| news.name.as_str()).collect();
-            changed.servers = self.remove_unlisted(&listed, news.servers_end, bound);
+        if update.all_servers {
+            let listed: Vec<&str> =
+                update.servers.iter().map(|server| server.name.as_str()).collect();
+            changed.servers = self.remove_unlisted(&listed, update.servers_end, bound);
         }
-        for ServerUpdate { name, offset, server, leaving_for } in news.servers {
-            let told = Leaving::after(leaving_for.and_then(|span| at.checked_sub(span)));
-            changed.servers |= self.apply_server(name, offset, server, bound.closer(told));
+        for ServerUpdate { name, offset, server, leaving_for } in update.servers {
+            let accepted = Leaving::after(leaving_for.and_then(|span| at.checked_sub(span)));
+            changed.servers |= self.apply_server(name, offset, server, bound.closer(accepted));
         }
-        if news.servers_end > Offset(0) {
-            let as_of = at.checked_sub(news.age);
-            self.mark_servers_current(news.servers_end, as_of, changed.servers, at);
+        if update.servers_end > Offset(0) {
+            let as_of = at.checked_sub(update.age);
+            self.mark_servers_current(update.servers_end, as_of, changed.servers, at);
         }
         if evacuations || changed.config {
             self.on_operator_changed(at);
             changed.servers = true;
         }
-        for (host, offset, entry) in news.hosts {
+        for (host, offset, entry) in update.hosts {
             changed.hosts |= self.apply_host(host, offset, entry);
         }
-        self.mark_hosts_current(news.hosts_end);
-        for (service, map) in news.maps {
+        self.mark_hosts_current(update.hosts_end);
+        for (service, map) in update.maps {
             changed.maps |= self.apply_map_update(service, map);
         }
         changed
     }
 
-    /// Drops servers that a whole list lacks, unless they came after it. Returns whether there were any.
+    /// Removes servers that a complete list lacks, unless they were added after its `end`. Returns whether there were any.
     pub fn remove_unlisted(&mut self, listed: &[&str], end: Offset, bound: Leaving) -> bool {
         let missing = |(name, entry): &(&ServerName, &Entry)| {
             entry.server.is_some() && entry.offset < end && !listed.contains(&name.as_str())
@@ -366,6 +367,6 @@
     }
 }
 
-fn leaves(server: Option<&Server>) -> bool {
+fn is_leaving(server: Option<&Server>) -> bool {
     server.is_none_or(|server| server.draining)
 }
--- a/crates/jacinthbeam-host/tests/membership.rs
+++ b/crates/jacinthbeam-host/tests/membership.rs
@@ -1,4 +1,4 @@
-//! When a host joins the group that shares duties out, stays, rests and leaves.
+//! When a host joins the group that assigns duties, renews, pauses and leaves.
 
 use std::time::{Duration, Instant};
 
@@ -21,16 +21,16 @@
 }
 
 #[test]
-fn a_member_stays_by_the_last_generation() {
+fn a_member_renews_with_the_last_generation() {
     assert_eq!(next(&[DUE]), Next::Join(0));
     assert_eq!(next(&[DUE, Event::Joined(7), DUE]), Next::Join(7));
     assert_eq!(next(&[DUE, Event::Joined(7), DUE, Event::Joined(8), DUE]), Next::Join(8));
 }
 
-/// The store is away for some seconds. The host goes on asking by the generation that it knows, and the log has one line for the loss
-/// and one for the return, however many words got no answer.
+/// Guards against a new membership after a store outage of some seconds, and against a log line for every failed join: the host keeps joining
+/// with the generation that it knows, and logs the loss and the return once each.
 #[test]
-fn an_outage_is_told_once_and_ends_no_membership() {
+fn an_outage_is_logged_once_and_keeps_the_membership() {
     let mut membership = after(&[DUE, Event::Joined(7), DUE, Event::Failed]);
     assert_eq!(membership.take_notice(), Some(Notice::Lost));
     for _ in 0..5 {
@@ -45,10 +45,10 @@
     assert_eq!(membership.next(), Next::Join(9));
 }
 
-/// A host that reaches too few backend servers gives its duties back for a while. Were it to name its old generation afterwards, the
-/// store might count it as having held them all the time.
+/// Guards against rejoining with an old generation. A host that reaches too few backend servers leaves the group for a while; with its old
+/// generation the store might treat it as having held its duties all the time.
 #[test]
-fn a_host_that_rests_leaves_and_joins_anew() {
+fn a_paused_host_leaves_and_joins_anew() {
     let resting = [DUE, Event::Joined(7), PAUSED];
     assert_eq!(next(&resting), Next::Leave);
     assert_eq!(next(&[&resting[..], &[PAUSED]].concat()), Next::Nothing);
@@ -56,29 +56,29 @@
     assert_eq!(next(&[&resting[..], &[LEAVING]].concat()), Next::End);
 }
 
-/// A process stops while its first join has no answer. The join may be in force, and the duties with a host that is gone: it says
-/// that it leaves all the same.
+/// Guards against duties left with a stopped host: a process that stops while its first join is unanswered must leave, since the join may have
+/// taken effect.
 #[test]
-fn a_host_that_stops_says_so_in_any_state() {
+fn a_stopping_host_leaves_in_any_state() {
     for events in [&[DUE][..], &[DUE, Event::Failed], &[DUE, Event::Joined(7)]] {
         assert_eq!(next(&[events, &[LEAVING]].concat()), Next::Leave);
         assert_eq!(next(&[events, &[LEAVING, DUE]].concat()), Next::End);
     }
 }
 
-/// A third of all lookups are refused for half a minute, as two hosts take the keys of a service from each other.
+/// Guards against two hosts claiming the keys of a service from each other, by which a third of all lookups were refused for half a minute.
 ///
-/// The store turns the host away that grants; its duty is dealt to another, which takes over. When the store answers again, the first one still
-/// believes in its duty, and claims. What it was dealt counts only for as long as the store can have given it to nobody else.
+/// The store refuses the granting host and reassigns its duty to another, which takes over. When the store answers again, the first host must
+/// not claim leadership for a duty that it no longer has, so a duty is valid only until the store may have reassigned it.
 #[test]
 fn a_duty_ends_with_its_lease() {
     let begun = Instant::now();
     let mut lease = DutyLease::default();
-    assert!(!lease.expire(begun), "there is nothing to lose");
+    assert!(!lease.expire(begun), "there is no lease yet");
     lease.renew(begun);
     assert!(!lease.expire(begun + LEASE - Duration::from_millis(1)));
     assert!(lease.expire(begun + LEASE));
-    assert!(!lease.expire(begun + 2 * LEASE), "it is told twice");
+    assert!(!lease.expire(begun + 2 * LEASE), "it expires twice");
     lease.renew(begun + 3 * LEASE);
     assert!(!lease.expire(begun + 3 * LEASE) && lease.expire(begun + 4 * LEASE));
 }
--- a/crates/jacinthbeam-host/tests/news.rs
+++ b/crates/jacinthbeam-host/tests/news.rs
@@ -1,4 +1,4 @@
-//! How long a host waits before it answers another that asks for news, and what age it tells.
+//! Long polls between hosts: how long an answer is held back, and which age it states.
 
 use std::time::Duration;
 
@@ -11,33 +11,34 @@
 
 const TOO_OLD: Duration = Duration::from_millis(950);
 
-/// A configuration that was acknowledged three seconds ago is not in force on two hosts.
+/// Guards against two hosts that keep each other's stale data fresh, without a configuration that was acknowledged three seconds ago.
 ///
-/// Both have lost the store and ask each other. Each waits for news before it answers; if it told the age that it had when the
-/// question came, every round would make the other younger by the wait, and both would count as fresh for ever.
+/// Both have lost the store and poll each other. Each holds its answer back for changes; if it stated the age as of the request, every round
+/// would make the data younger by the wait, and both would count as fresh forever.
 #[tokio::test(start_paused = true)]
 async fn the_age_is_that_of_the_answer() {
-    let heard = Instant::now();
+    let as_of = Instant::now();
     let (_tx, rx) = watch::channel(());
-    let look = async || StateUpdate { age: heard.elapsed(), ..StateUpdate::default() };
-    let news = long_poll(look, rx, Duration::from_millis(700), TOO_OLD).await;
-    assert_eq!(news.age, Duration::from_millis(700));
+    let look = async || StateUpdate { age: as_of.elapsed(), ..StateUpdate::default() };
+    let update = long_poll(look, rx, Duration::from_millis(700), TOO_OLD).await;
+    assert_eq!(update.age, Duration::from_millis(700));
 }
 
-/// The host that is asked loses the store during the wait. The one that asks has to turn elsewhere before a change that it
-/// misses is due, so it is told as soon as the age is too high and not at the end of the wait.
+/// Guards against a late change of source. If the polled host loses the store during the wait, it must answer as soon as its data is too old
+/// rather than at the end of the wait, so that the polling host selects another source before a missed change is due.
 #[tokio::test(start_paused = true)]
-async fn a_source_that_goes_stale_says_so_at_once() {
-    let heard = Instant::now();
+async fn a_source_that_becomes_stale_answers_immediately() {
+    let as_of = Instant::now();
     let (_tx, rx) = watch::channel(());
     tokio::time::advance(Duration::from_millis(600)).await;
-    let look = async || StateUpdate { age: heard.elapsed(), ..StateUpdate::default() };
-    let news = long_poll(look, rx, Duration::from_millis(700), TOO_OLD).await;
-    assert_eq!(news.age, TOO_OLD);
+    let look = async || StateUpdate { age: as_of.elapsed(), ..StateUpdate::default() };
+    let update = long_poll(look, rx, Duration::from_millis(700), TOO_OLD).await;
+    assert_eq!(update.age, TOO_OLD);
 }
 
+/// Guards against changes that are held back until the end of the wait.
 #[tokio::test(start_paused = true)]
-async fn news_are_answered_when_they_come() {
+async fn a_change_ends_the_wait() {
     let begun = Instant::now();
     let (tx, rx) = watch::channel(0);
     let known = rx.clone();
@@ -50,10 +51,10 @@
         });
         StateUpdate { servers: servers.collect(), ..StateUpdate::default() }
     };
-    let tell = async {
+    let send = async {
         tokio::time::sleep(Duration::from_millis(30)).await;
         tx.send(1).unwrap();
     };
-    let (news, ()) = tokio::join!(long_poll(look, rx, Duration::from_millis(700), TOO_OLD), tell);
-    assert_eq!((news.servers.len(), begun.elapsed()), (1, Duration::from_millis(30)));
+    let (update, ()) = tokio::join!(long_poll(look, rx, Duration::from_millis(700), TOO_OLD), send);
+    assert_eq!((update.servers.len(), begun.elapsed()), (1, Duration::from_millis(30)));
 }
--- a/crates/jacinthbeam-host/tests/source.rs
+++ b/crates/jacinthbeam-host/tests/source.rs
@@ -1,4 +1,4 @@
-//! Whom a host asks for the news of the store.
+//! Which source a host selects for its data.
 
 use std::{
     collections::BTreeMap,
@@ -26,7 +26,7 @@
     BTreeMap::from([("far".parse().unwrap(), hosts.to_vec())])
 }
 
-/// The first of several.
+/// Chooses the first of several addresses.
 fn first(addrs: &[SocketAddr]) -> Option<SocketAddr> {
     addrs.first().copied()
 }
@@ -35,41 +35,42 @@
     Answer { age: Duration::from_millis(100), steps, asks_store: steps == 0 }
 }
 
-/// Of a host that asks the store and is not answered.
+/// Answer of a host that calls the store without getting answers.
 const TRYING: Answer = Answer { age: Duration::MAX, steps: u8::MAX, asks_store: true };
 
-/// Of a host that has nothing to go on, and leaves the store to others.
+/// Answer of a host that has no fresh data and doesn't call the store.
 const WAITING: Answer = Answer { age: Duration::MAX, steps: u8::MAX, asks_store: false };
 
 fn before(hosts: &[u16]) -> Neighbours {
     Neighbours { before: hosts.iter().map(|n| host(*n)).collect(), ..Neighbours::default() }
 }
 
-/// A server gets requests 2.9 s after the store took the word of its leaving, where 2 s are allowed.
+/// Guards against long chains of hosts, by which a server got requests 2.9 s after the store accepted its leaving, where 2 s are allowed.
 ///
-/// The first host of a failure domain was silent for a moment. All others passed it over, each for the one before itself, and the word then
-/// went from host to host down the domain: each asked one that asked another. News pass three hosts at the most.
+/// The first host of a failure domain didn't answer for a moment. Every other host then followed the one right before it, and the record passed
+/// from host to host down the domain. Data may pass three hosts at most.
 #[test]
-fn news_pass_few_hosts_on_their_way() {
+fn data_passes_few_hosts_on_its_way() {
     assert!(fresh(0).can_be_followed(false));
     assert!(fresh(2).can_be_followed(false) && !fresh(3).can_be_followed(false));
-    assert!(fresh(1).helps() && !fresh(2).helps(), "those that follow would pass them on");
+    assert!(fresh(1).helps() && !fresh(2).helps(), "its followers would pass the data on");
     let old = Answer { age: MAX_STALENESS + Duration::from_millis(1), ..fresh(0) };
     assert!(!old.can_be_followed(false) && !old.helps());
 }
 
-/// The store turns the first host of a domain away. The second reads the store and is asked by the first. If it went on with the answers of the
-/// first, each would take its news from the other, and both would lose them.
+/// Guards against two hosts that follow each other. The store refuses the first host of a domain, which polls the second, a reader. If the reader
+/// followed the first host in turn, both would lose their source.
 #[test]
 fn a_host_that_the_store_answers_follows_only_another_such_host() {
     assert!(fresh(0).can_be_followed(true));
     assert!(!fresh(1).can_be_followed(true));
 }
 
-/// The store turns the first host of a failure domain away and serves the others there. The next ones read the store when the first has nothing
-/// to go on, and the first asks in its own domain: asked elsewhere, everything would cross the border, also for those behind it.
+/// Guards against needless traffic between domains. The store refuses the first host of a failure domain and answers the others, which read it
+/// when the first has no fresh data. The first must then poll a host of its own domain: otherwise the data for the whole domain would come
+/// from another one.
 #[test]
-fn a_host_that_is_turned_away_asks_in_its_own_domain() {
+fn a_refused_host_polls_its_own_domain_first() {
     let now = Instant::now();
     let mut sources = SourceSelector::default();
     let neighbours =
@@ -78,7 +79,7 @@
         |sources: &mut SourceSelector, now, lost| sources.next(now, &neighbours, lost, first);
     assert_eq!(next(&mut sources, now, false), Action::ReadStore);
     assert_eq!(next(&mut sources, now, true), Action::AskForHelp(addr(2)));
-    // None of them knows more: the whole domain is turned away.
+    // None of them has fresher data: the store refuses the whole domain.
     sources.on_no_help(addr(2), now);
     sources.on_no_help(addr(3), now);
     assert_eq!(next(&mut sources, now, true), Action::AskForHelp(addr(7)));
@@ -88,9 +89,10 @@
     assert_eq!(next(&mut sources, later, true), Action::AskForHelp(addr(2)));
 }
 
-/// The hosts before are asked in their order. One that gave no answer is passed over for some seconds, longer each time.
+/// Guards against waiting for unreachable hosts. Preceding hosts are polled in order, and one that doesn't answer is skipped for some seconds,
+/// longer each time.
 #[test]
-fn the_first_host_that_is_there_is_asked() {
+fn the_first_reachable_host_is_polled() {
     let now = Instant::now();
     let mut sources = SourceSelector::default();
     let neighbours = before(&[1, 2]);
@@ -108,35 +110,36 @@
     assert_eq!(next(&mut sources, later + Duration::from_secs(7)), Action::Ask(host(1)));
 }
 
-/// All 59 hosts of a domain lose the one that they follow, and each makes four calls to the store within milliseconds. Each host before one has
-/// its time to read the store, and is asked again, before that one reads it too.
+/// Guards against a burst of calls to the store: all 59 hosts of a domain lose the one that they follow, and each made four calls within
+/// milliseconds. A host leaves every preceding host time to become a reader, and polls it again, before it reads the store itself.
 #[test]
-fn a_host_leaves_the_store_to_those_before_it_for_their_turn() {
+fn a_host_gives_preceding_hosts_time_to_become_readers() {
     let begun = Instant::now();
     let mut sources = SourceSelector::default();
     let neighbours = before(&[1, 2, 3, 4, 5, 6]);
     let mut now = begun;
-    let mut asked = 0;
+    let mut polls = 0;
     loop {
         match sources.next(now, &neighbours, false, first) {
             Action::Ask((id, _)) => {
-                asked += 1;
+                polls += 1;
                 assert!(!sources.on_answer(&id, WAITING, false, now));
             }
             Action::Wait(pause) => now += pause,
             Action::ReadStore => break,
             Action::AskForHelp(addr) => {
-                panic!("{addr} is asked for help by a host that doesn't ask the store")
+                panic!("{addr} is polled for help by a host that doesn't call the store")
             }
         }
     }
-    assert_eq!(now - begun, Duration::from_millis(600), "four hosts are asked, 150 ms for each");
-    assert!(asked >= 4 * 5, "{asked} questions: a new reader is found before another one begins");
+    assert_eq!(now - begun, Duration::from_millis(600), "four hosts are polled, 150 ms for each");
+    assert!(polls >= 4 * 5, "{polls} polls: a new reader is found before another one starts");
 }
 
-/// The store is away. Three hosts of the domain ask it whether it is back; the fourth leaves it to them however long that takes, and asks them.
+/// Guards against every host calling an unresponsive store: three hosts of a domain probe it, and the fourth polls those, however long the
+/// outage lasts.
 #[test]
-fn three_hosts_of_a_domain_ask_a_store_that_is_away() {
+fn three_hosts_of_a_domain_probe_an_unresponsive_store() {
     let begun = Instant::now();
     let mut sources = SourceSelector::default();
     let neighbours = before(&[1, 2, 3]);
@@ -152,9 +155,10 @@
     assert!(sources.on_answer(&id, fresh(0), false, now), "the store is back");
 }
 
-/// A host is asked at whose address nothing listens yet, as all start together. It is asked once more before those behind it count.
+/// Guards against skipping a host that is still starting, as all hosts do together: one that refuses a connection is polled once more before it
+/// is skipped.
 #[test]
-fn a_host_that_is_about_to_start_is_asked_again() {
+fn a_starting_host_is_polled_again() {
     let now = Instant::now();
     let mut sources = SourceSelector::default();
     let neighbours = before(&[1]);
@@ -168,19 +172,19 @@
     assert_eq!(next(&mut sources, later), Action::ReadStore);
 }
 
-/// A host that has just started while the store turns it away knows nobody, and asks those that its settings name.
+/// Guards against a host without any source: one that starts while the store refuses it knows no other host, and polls its seed hosts.
 #[test]
-fn seeds_are_asked_while_nobody_is_known() {
+fn seeds_are_polled_while_no_host_is_known() {
     let old = MAX_STALENESS + Duration::from_millis(1);
     assert!(should_ask_seeds(None, Duration::MAX));
     assert!(should_ask_seeds(Some(&Neighbours::default()), old));
     assert!(!should_ask_seeds(Some(&Neighbours::default()), Duration::ZERO), "the store answers");
-    let somebody = Neighbours { far: far([host(7)]), ..Neighbours::default() };
-    assert!(!should_ask_seeds(Some(&somebody), old));
+    let known = Neighbours { far: far([host(7)]), ..Neighbours::default() };
+    assert!(!should_ask_seeds(Some(&known), old));
 }
 
-/// A reader answers all other hosts of its domain. Hosts with most processor come first, and hosts that are alike stand in the order of their
-/// names; each host works out the same order.
+/// Guards against small hosts as readers, and against hosts with different orders. A reader answers all other hosts of its domain, so hosts with
+/// most processor come first; equal ones are ordered by name.
 #[test]
 fn hosts_with_most_processor_read_for_the_others() {
     let entry = |n: u16, domain: &str, processor| HostEntry {
--- a/crates/jacinthbeam-host/tests/standby.rs
+++ b/crates/jacinthbeam-host/tests/standby.rs
@@ -1,4 +1,4 @@
-//! Which hosts take the duty to grant, where hosts differ.
+//! Which hosts are standbys for the duty to grant, by their share of a processor.
 
 use std::time::{Duration, Instant};
 
@@ -12,7 +12,7 @@
     format!("d{n}").parse().unwrap()
 }
 
-/// So many hosts of each kind in each of some failure domains.
+/// A fleet with the given number of hosts of each processor share in each failure domain.
 fn fleet(domains: usize, kinds: &[(usize, Millicores)]) -> Vec<(FailureDomain, Millicores)> {
     let hosts = |n| kinds.iter().flat_map(move |(count, p)| vec![(domain(n), *p); *count]);
     (0..domains).flat_map(hosts).collect()
@@ -29,10 +29,11 @@
 
 const LATER: Duration = Duration::from_secs(2);
 
-/// Half of the lookups of a large service are refused, since its keys have no owner, again and again for a second.
+/// Guards against refusing half of the lookups of a large service, for a second again and again, because its keys have no owner.
 ///
-/// Of 83 hosts 75 have a tenth of a core. The duty to grant falls to one of them; it can't make the calls that renew 1,400 ranges, its right
-/// lapses in the middle of its rounds, and holds run out. Eight hosts have five times as much and would do it in a fifth of their time.
+/// Of 83 hosts 75 have a tenth of a core. If one of them has the duty to grant, it can't make the calls that renew 1,400 ranges: its right to
+/// grant expires in the middle of a round, and holds expire. Eight hosts have five times as much processor and need a fifth of their time for
+/// it.
 #[test]
 fn the_duty_is_left_to_hosts_with_more_processor() {
     let begun = Instant::now();
@@ -42,9 +43,9 @@
     assert!(!stands_by(&standby, begun + LATER, LARGE, &fleet));
 }
 
-/// Hosts that are all alike, or too few to choose from, take part as ever.
+/// Guards against standbys in a fleet of equal hosts, or of too few hosts to choose from.
 #[test]
-fn hosts_that_are_alike_all_take_part() {
+fn equal_hosts_all_take_duties() {
     let begun = Instant::now();
     let standby = Standby::new(begun);
     assert!(!stands_by(&standby, begun + LATER, SMALL, &fleet(3, &[(4, SMALL)])));
@@ -52,34 +53,34 @@
     assert!(!stands_by(&standby, begun + LATER, SMALL, &[]));
 }
 
-/// All hosts with more processor stand in one failure domain, and the loss of that one must leave somebody with the duty.
+/// Guards against losing all hosts with duties at once: all hosts with more processor are in one failure domain, so others must take duties too.
 #[test]
-fn the_hosts_that_take_part_are_in_two_failure_domains() {
+fn hosts_with_duties_are_in_two_failure_domains() {
     let begun = Instant::now();
     let mut hosts = vec![(domain(0), LARGE); 8];
     hosts.extend(fleet(3, &[(5, SMALL)]));
     assert!(!stands_by(&Standby::new(begun), begun + LATER, SMALL, &hosts));
 }
 
-/// Every host with more processor is gone. Another takes the duty once nobody has been heard for some seconds, and gives it back when one
-/// of them is heard again.
+/// Guards against keys without a granting host after the loss of every host with more processor: a standby takes duties after some seconds
+/// without a heartbeat, and becomes a standby again with the next heartbeat.
 #[test]
-fn a_host_with_less_stands_in_when_all_others_are_silent() {
+fn a_standby_takes_duties_without_heartbeats() {
     let begun = Instant::now();
     let fleet = fleet(4, &[(2, LARGE), (19, SMALL)]);
     let mut standby = Standby::new(begun);
-    let word = begun + Duration::from_secs(20);
-    standby.on_grantor_heartbeat(word);
-    assert!(stands_by(&standby, word + Duration::from_secs(7), SMALL, &fleet));
-    let late = word + Duration::from_secs(9);
+    let heartbeat = begun + Duration::from_secs(20);
+    standby.on_grantor_heartbeat(heartbeat);
+    assert!(stands_by(&standby, heartbeat + Duration::from_secs(7), SMALL, &fleet));
+    let late = heartbeat + Duration::from_secs(9);
     assert!(!stands_by(&standby, late, SMALL, &fleet));
     standby.on_grantor_heartbeat(late);
     assert!(stands_by(&standby, late, SMALL, &fleet));
 }
 
-/// A process that has just started knows one other host of 83, and would take itself for one of the best.
+/// Guards against a wrong choice right after the start: a process that knows one other host of 83 would count itself among the largest.
 #[test]
-fn a_host_that_knows_few_others_waits_to_meet_them() {
+fn a_host_that_knows_few_others_is_a_standby_at_first() {
     let begun = Instant::now();
     let standby = Standby::new(begun);
     let few = fleet(1, &[(2, SMALL)]);
@@ -87,7 +88,7 @@
     assert!(!stands_by(&standby, begun + LATER, SMALL, &few));
 }
 
-/// Entries that a version before this one left in the store say nothing of the processor, and must still be read.
+/// Guards against unreadable host entries after an upgrade: entries written by an earlier version lack the processor share.
 #[test]
 fn an_entry_without_the_processor_is_read() {
     let addr = "10.0.0.7:7540".parse().unwrap();
