--- a/crates/jacinthbeam-host/src/request/answer.rs
+++ b/crates/jacinthbeam-host/src/request/answer.rs
@@ -1,4 +1,4 @@
-//! Answers of this host's own: refusals and failures.
+//! Responses that the host itself generates: refusals and failures.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 
 use crate::Wire;
 
-/// The status that tells a caller what may have become of its request: only a refusal that is proven says that it did not run.
+/// HTTP status of a refusal. 404, 400 and 503 guarantee that the request did not run; 502 and 504 mean that it may have run.
 pub fn status(refusal: &Refusal) -> StatusCode {
     match (refusal.verdict, refusal.reason) {
         (Verdict::NotRun, Reason::UnknownService) => StatusCode::NOT_FOUND,
@@ -20,12 +20,12 @@
     }
 }
 
-/// The answer to a request that got none of a backend server.
+/// Response to a request for which there is no answer of a backend server.
 pub fn refused(wire: &Wire, id: &HeaderValue, refusal: &Refusal) -> Response<Full<Bytes>> {
     refused_as(wire, status(refusal), Some(id), refusal, &refusal.reason.to_string())
 }
 
-/// The same with a status and words of its own.
+/// Like [`refused`], with the given status and text.
 pub fn refused_as(
     wire: &Wire,
     status: StatusCode,
@@ -38,7 +38,7 @@
     res
 }
 
-/// An answer with a line of text.
+/// A plain-text response of one line.
 pub fn plain(status: StatusCode, text: String) -> Response<Full<Bytes>> {
     let mut res = Response::new(Full::new(Bytes::from(text + "\n")));
     *res.status_mut() = status;
@@ -47,7 +47,7 @@
     res
 }
 
-/// Seconds of a header value, with fractions.
+/// Formats a duration as decimal seconds for a header value.
 pub fn seconds(after: Duration) -> String {
     format!("{:.3}", after.as_secs_f64())
 }
--- a/crates/jacinthbeam-host/src/request/body.rs
+++ b/crates/jacinthbeam-host/src/request/body.rs
@@ -1,7 +1,8 @@
-//! The body of a caller's request, read whole before anything is sent.
+//! Reads the body of a caller's request completely before anything is sent to a backend server.
 //!
-//! A whole body can be sent a second time, and a backend server that answers before it has read the body never meets the next
-//! request in its place: the connection is used again only once all was written.
+//! A buffered body can be sent again on a retry. It also keeps server connections in sync: a server may answer before it
+//! has read the whole body, and a connection is reused only after the body was written completely, so that the server can't
+//! read the next request as the rest of this body.
 
 use std::{cell::Cell, time::Duration};
 
@@ -11,30 +12,30 @@
 use hyper::body::Incoming;
 use tokio::task::spawn_local;
 
-/// Bytes of bodies that one process holds at a time: a quarter of the memory of the smallest host.
+/// Limit on the bytes of request bodies that a process buffers at a time: a quarter of the memory of the smallest host.
 const MAX_BUFFERED_BYTES: usize = 64 << 20;
 
-/// Bytes that are read and dropped after a refusal, and for how long: what a link of 100 Mbit/s brings in two seconds.
+/// Limits on what is read and discarded after a refusal: the bytes that a link of 100 Mbit/s carries in two seconds.
 const MAX_DISCARDED_BYTES: usize = 24 << 20;
 const DISCARD_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Longest pause within a body.
+/// Longest pause between two frames of a body.
 const MAX_PAUSE: Duration = Duration::from_secs(10);
 
-/// Why there is no whole body.
+/// Why a body was not read completely.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Error {
-    /// It is longer than the configuration allows.
+    /// The body exceeds the configured limit.
     TooLong,
-    /// This process holds too many bytes of bodies already.
+    /// The process already buffers [`MAX_BUFFERED_BYTES`].
     NoRoom,
-    /// The caller broke off, or its framing is wrong.
+    /// The caller closed the connection, or the framing is invalid.
     Broken,
-    /// The caller paused for too long.
+    /// The body did not arrive in time.
     Silent,
 }
 
-/// Bytes counted against [`MOST_HELD`] until dropped.
+/// Bytes that count against [`MAX_BUFFERED_BYTES`] until this is dropped.
 #[derive(Debug)]
 pub(super) struct Reservation<'a> {
     total: &'a Cell<usize>,
@@ -59,7 +60,7 @@
     }
 }
 
-/// Reads a body of at most `most` bytes.
+/// Reads a body of at most `max_bytes` bytes. `total` counts the bytes of all bodies that the process buffers.
 pub(super) async fn read(
     mut body: Incoming,
     max_bytes: usize,
@@ -72,10 +73,10 @@
     read
 }
 
-/// Reads on after a refusal, for as long as a caller usually needs to send the rest.
+/// Reads and discards the rest of a refused body, for as long as a caller usually needs to send it.
 ///
-/// A connection that is closed with unread bytes is reset, and the reset overtakes the refusal: the caller would learn nothing
-/// and send the same again.
+/// Closing a connection with unread bytes resets it, and the reset can overtake the refusal. The caller would then not
+/// receive the refusal and would send the same request again.
 async fn discard(mut body: Incoming) {
     let mut discarded = 0;
     let rest = async {
--- a/crates/jacinthbeam-host/src/request/crash.rs
+++ b/crates/jacinthbeam-host/src/request/crash.rs
@@ -1,8 +1,9 @@
-//! Whether a server has ended under a request, and what that means for the request.
+//! Detects server crashes under a request, and decides whether a request with crashes may still be sent.
 //!
-//! A connection that breaks proves nothing: it may have been reset, cut, or closed by a server over its cap. A server counts as ended when
-//! nothing listens at its address, or another life of a server answers there, soon after; not if it had said that it leaves, since one
-//! that is stopped in order ends with whatever still runs.
+//! A broken connection is no proof of a crash: it may have been reset, cut, or closed by a server over its connection limit. A
+//! server counts as crashed if, soon afterwards, nothing listens at its address or another incarnation answers there. It does
+//! not count as crashed if it had announced that it is draining, since a server that is stopped in order also ends the
+//! requests that still run on it.
 
 use std::{
     collections::BTreeSet,
@@ -24,22 +25,22 @@
     version::View,
 };
 
-/// How long a repeat waits for the look whether its server has ended. An address where nothing listens says so in one round trip.
+/// How long a retry waits for the liveness check of the server. An address where nothing listens refuses within one round trip.
 const LIVENESS_WAIT: Duration = Duration::from_millis(50);
 
-/// Tries of a look that finds no room for a connection, and the pause between two of them.
+/// Attempts of a liveness check that finds the connection pool full, and the delay between two of them.
 const LIVENESS_ATTEMPTS: usize = 3;
 const LIVENESS_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// A request that is not sent to any server, for the servers that crashed under it.
+/// A request that is not sent to any server because servers crashed under it.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Quarantine {
     pub(super) request: Fingerprint,
-    /// Whether that stands; else it is on probation, and another attempt may be sent.
+    /// Whether the quarantine is definite. If not, the request is on probation: a later attempt may be sent as a probe.
     pub(super) is_confirmed: bool,
 }
 
-/// One request of one caller, as far as servers may end under it.
+/// Tracks server crashes under one request of one caller.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct CrashTracker<'a> {
     pub(super) traffic: &'a Rc<Traffic>,
@@ -48,7 +49,7 @@
 }
 
 impl CrashTracker<'_> {
-    /// Why the request is not sent to a server now; `None` if it may be.
+    /// Returns the quarantine that keeps the request from being sent now; `None` if it may be sent.
     pub(super) fn quarantine(self, view: &View) -> Option<Quarantine> {
         let request = fingerprint::of_suspect(&view.suspects, self.request)?;
         if view.suspects.is_quarantined(&request, self.caller) {
@@ -59,11 +60,11 @@
         (!may_probe).then_some(Quarantine { request, is_confirmed: false })
     }
 
-    /// Whether the request may be sent once more at once, given that servers have ended under this attempt.
+    /// Whether the request may be retried immediately, given the servers that crashed under this attempt.
     ///
-    /// Sent on and on, one attempt would end as many servers as it may be sent to before any other host hears of the first. After one lost
-    /// server its caller is served as before. The last server that it takes to refuse a request is left to another attempt, which
-    /// meets what all hosts know by then.
+    /// Without this limit one attempt could crash every server that it may be sent to before any other host receives the first
+    /// report. One crash doesn't change how the request is served. The last crash that would complete the quarantine is left to
+    /// a later attempt, which is checked against the crashes that all hosts have reported by then.
     pub(super) fn may_retry(self, view: &View, crashed: &BTreeSet<ServerId>) -> bool {
         if crashed.is_empty() {
             return true;
@@ -74,7 +75,10 @@
         crashes.max(crashed.len()) + 1 < QUARANTINE_THRESHOLD
     }
 
-    /// Takes note of what a send says of its server. Returns whether the server is known to have ended under the request.
+    /// Records the outcome of a send. Returns whether the server is known to have crashed under the request.
+    ///
+    /// With `waits`, waits up to [`LIVENESS_WAIT`] for the liveness check after a broken connection; without it, the check runs
+    /// in the background.
     pub(super) async fn on_sent(
         self,
         server: &Server,
@@ -84,7 +88,7 @@
     ) -> bool {
         match sent {
             SendOutcome::Answered { success: true, .. } => {
-                // As known now: servers may have ended under it at other hosts while it ran.
+                // Uses the current view: crashes under this request may have been reported by other hosts while it ran.
                 self.on_success(&self.traffic.view());
                 false
             }
@@ -113,7 +117,8 @@
         Running { request, caller: self.caller, at: self.traffic.now() }
     }
 
-    /// A request that has run to a good end has not ended the servers that this caller's attempts were at before.
+    /// Reports a successful request as cleared: it did not cause the crashes of the servers that this caller's earlier attempts
+    /// were sent to.
     fn on_success(self, view: &View) {
         let body = self.request.body.clone();
         self.traffic.on_good_answer(fingerprint::head(self.request), body, self.caller);
@@ -126,13 +131,13 @@
         }
     }
 
-    /// Notes that its caller has left while it was at a server.
+    /// Records that the caller disconnected while the request was in flight at `server`.
     pub(super) fn on_caller_disconnect(self, server: &Server) {
         self.traffic.server(server).broken.on_left(self.running());
     }
 }
 
-/// Looks whether a server still takes connections. Returns whether it has ended.
+/// Checks whether a server still accepts connections. Returns whether it has crashed.
 async fn check_liveness(traffic: &Traffic, server: &Server, max_connections: u32) -> bool {
     let state = traffic.server(server);
     for _ in 0..LIVENESS_ATTEMPTS {
@@ -147,18 +152,19 @@
             }
             Err(err) if err.is_refused() => return report_crash(traffic, server),
             Err(pool::Error::Connect(_) | pool::Error::Silent) => return false,
-            // The other connections to a server that has ended break at the same time, and make room when they are dropped.
+            // The other connections to a crashed server break at the same time, and free the pool when they are dropped.
             Err(pool::Error::Full) => tokio::time::sleep(LIVENESS_RETRY_DELAY).await,
         }
     }
     false
 }
 
-/// Tells of the requests that were running at a server which has ended. Returns whether it ended without a word.
+/// Reports the requests that were in flight at a server that is gone. Returns whether it crashed, which means that it ended
+/// without having announced that it is draining.
 fn report_crash(traffic: &Traffic, server: &Server) -> bool {
     let now = traffic.now();
     let running = traffic.server(server).broken.take(now);
-    // As known now: it may have said that it leaves while they ran.
+    // Uses the current view: the server may have announced that it is draining while the requests ran.
     let view = traffic.view();
     let leaving = view.leaving.get(&server.id).map(|leaving| leaving.elapsed(now));
     let had_said =
--- a/crates/jacinthbeam-host/src/request/end.rs
+++ b/crates/jacinthbeam-host/src/request/end.rs
@@ -1,4 +1,4 @@
-//! How a request ends: with the answer of a backend server, or with what can be said of it in its place.
+//! Builds the final response to a request: the answer of a backend server, or a refusal with its verdict and retry hint.
 
 use bytes::Bytes;
 use http::{Response, header};
@@ -17,6 +17,9 @@
     send_outcome::{Lost, SendOutcome},
 };
 
+/// Builds the response from the outcome of the last send; `None` if there was none.
+///
+/// The retry hint of a refusal is spread randomly, and shortened to what is left of the deadline.
 pub(super) fn finish(
     job: &Job,
     last: Option<SendOutcome>,
@@ -39,16 +42,15 @@
         None => Refusal::not_run(Reason::Overloaded).retry_after(overload_delay),
     };
     let left = job.left();
-    let hint = refusal
-        .retry_after
-        .map(|overload_delay| retry_after(overload_delay, left, fastrand::f64()));
+    let hint = refusal.retry_after.map(|delay| retry_after(delay, left, fastrand::f64()));
     let refusal = Refusal { retry_after: hint, ..refusal };
     let basis = || basis(job, tried.len());
     refuse(&job.traffic, &job.request.id, &job.route.name, &refusal, job.received, basis)
 }
 
-/// Answers a request that is not sent to a server for the servers that crashed under it. One that stands has no hint when to come back: no
-/// time is known at which it would be served.
+/// Refuses a quarantined request.
+///
+/// A definite quarantine carries no retry hint, since it is unknown when the request would be served again.
 pub(super) fn refuse_for_crashes(job: &Job, quarantine: Quarantine) -> Response<Full<Bytes>> {
     job.traffic.counters.on_refused_for_crashes(quarantine.request);
     let refusal = Refusal::not_run(Reason::EndsServers);
@@ -58,7 +60,7 @@
     refuse(&job.traffic, &job.request.id, &job.route.name, &refusal, job.received, basis)
 }
 
-/// What the refusal of a request is decided by, for its line in the log.
+/// The state that a refusal was decided by, for its log line.
 fn basis(job: &Job, tried: usize) -> Basis<'_> {
     let key = job.key.filter(|_| job.keyed);
     let view = job.traffic.view();
--- a/crates/jacinthbeam-host/src/request/fingerprint.rs
+++ b/crates/jacinthbeam-host/src/request/fingerprint.rs
@@ -1,18 +1,18 @@
-//! What makes two attempts the same request.
+//! Fingerprints of requests, which identify attempts at the same request.
 
 use http::header;
 use jacinthbeam_crash::{Fingerprint, Suspects, fingerprint::HeadDigest};
 
 use super::send::BufferedRequest;
 
-/// The fingerprint of a request: its method, the host and path that its caller named, and its body.
+/// Fingerprint of a request: its method, host, path, query and body.
 ///
-/// The service isn't part of it: a route may lead elsewhere from one attempt to the next, and the request goes along.
+/// The service is not part of it, since a route may lead to another service from one attempt to the next.
 pub(super) fn of(request: &BufferedRequest) -> Fingerprint {
     Fingerprint::of(head(request), &request.body)
 }
 
-/// The same, if it may be one of `suspects`. A body is digested for those alone.
+/// Fingerprint of a request if it may be one of `suspects`. The body is hashed only if the head matches one of them.
 pub(super) fn of_suspect(suspects: &Suspects, request: &BufferedRequest) -> Option<Fingerprint> {
     if suspects.is_empty() {
         return None;
@@ -21,7 +21,7 @@
     suspects.contains_head(head).then(|| Fingerprint::of(head, &request.body))
 }
 
-/// What the head of a request says.
+/// Digest of the method, host, path and query of a request.
 pub(super) fn head(request: &BufferedRequest) -> HeadDigest {
     let path = request.target.path().as_bytes();
     let query = request.target.query().unwrap_or_default().as_bytes();
--- a/crates/jacinthbeam-host/src/request/job.rs
+++ b/crates/jacinthbeam-host/src/request/job.rs
@@ -1,4 +1,4 @@
-//! One request on its way: what is decided once, and what it may still do.
+//! A routed request: what was decided about it once, and what it may still do.
 
 use std::{
     net::IpAddr,
@@ -23,11 +23,11 @@
     version::View,
 };
 
-/// Everything that is decided once for a request.
+/// A routed request, with everything that is decided once.
 pub(super) struct Job {
     pub(super) traffic: Rc<Traffic>,
     pub(super) request: BufferedRequest,
-    /// Where it came from.
+    /// Address of the caller.
     pub(super) caller: IpAddr,
     pub(super) route: Arc<Route>,
     pub(super) service: ServiceName,
@@ -36,10 +36,10 @@
     pub(super) key: Option<Key>,
     /// Whether it may run more than once.
     pub(super) idempotent: bool,
-    /// What it counts against its team.
+    /// Metering of the team that is charged for the request.
     pub(super) usage: Use,
     pub(super) received: Instant,
-    /// When the final answer is due: the caller's deadline or the route's timeout.
+    /// When the response is due: after the caller's deadline or the route's timeout, whichever is shorter.
     pub(super) deadline: Instant,
 }
 
@@ -55,17 +55,17 @@
             received: self.received,
             caller: self.caller,
         };
-        let same = || fingerprint::of(&self.request);
-        self.traffic.stories.on_sent(self.traffic.now(), &send, view, sent, same);
+        let compute_fingerprint = || fingerprint::of(&self.request);
+        self.traffic.stories.on_sent(self.traffic.now(), &send, view, sent, compute_fingerprint);
     }
 
-    /// The request as far as servers may end under it.
+    /// Crash tracking of this request.
     pub(super) fn crash_tracker(&self) -> CrashTracker<'_> {
         CrashTracker { traffic: &self.traffic, request: &self.request, caller: self.caller }
     }
 
-    /// Takes note of what a send says of its server. Returns whether the server is known to have ended under the request; that is
-    /// waited for only if it `may_repeat`.
+    /// Records the outcome of a send. Returns whether the server is known to have crashed under the request. Waits for the
+    /// liveness check of the server only with `may_retry`.
     pub(super) async fn on_sent(
         &self,
         view: &Arc<View>,
@@ -77,41 +77,46 @@
         self.crash_tracker().on_sent(server, max_connections, sent, may_retry).await
     }
 
-    /// Whether the request may be sent to the region of a server.
-    pub(super) fn is_home(&self, server: &Server) -> bool {
+    /// Whether the route's home regions allow the region of a server.
+    pub(super) fn allows_region_of(&self, server: &Server) -> bool {
         self.route.is_home(self.traffic.settings.regions.get(&server.domain))
     }
 
-    /// Whether the owner of its key is where the request must not go, so that waiting for it is of no use.
+    /// Whether the owner of the key is outside the route's home regions, so that waiting for it is pointless.
     pub(super) fn is_owner_outside_home_regions(&self, view: &View) -> bool {
         let owner =
             self.key.and_then(|key| view.maps.get(&self.service)?.lookup(key).owner.as_ref());
         let server = owner.and_then(|owner| view.servers.get(&owner.server));
-        server.is_some_and(|server| !self.is_home(server))
+        server.is_some_and(|server| !self.allows_region_of(server))
     }
 
+    /// Time left until the deadline.
     pub(super) fn left(&self) -> Duration {
         self.deadline.saturating_duration_since(self.traffic.now())
     }
 
+    /// Whether a request that may have run may be sent again after `sends` sends.
     pub(super) fn may_run_again(&self, sends: u32) -> bool {
         self.idempotent && sends < self.route.attempts
     }
 
-    /// What is left of the time that a request may wait: a part of its objective.
+    /// Time left of the share of the objective that the request may wait, bounded by the deadline.
     pub(super) fn wait_left(&self, part: f64) -> Duration {
         let until = (self.received + self.route.objective.mul_f64(part)).min(self.deadline);
         until.saturating_duration_since(self.traffic.now())
     }
 
-    /// A process that is about to stop has no time to wait: the caller is answered while it can be, and goes elsewhere.
+    /// Whether the request may wait any longer. It may not while the process stops: the caller is refused while that is still
+    /// possible, and retries at another host.
     pub(super) fn may_wait(&self, part: f64) -> bool {
         !self.traffic.is_stopping() && !self.wait_left(part).is_zero()
     }
 }
 
-/// Sends the request to one server. One that must not run twice goes on if its caller leaves, since cancelling it would leave
-/// nobody knowing whether it ran; any other is cancelled with the caller.
+/// Sends the request to one server.
+///
+/// If the caller disconnects, an idempotent request is cancelled. Any other continues, since its cancellation would leave it
+/// unknown whether the request ran.
 pub(super) async fn send_to(job: &Rc<Job>, view: &View, server: &Server) -> SendOutcome {
     let max_connections = job.traffic.most_connections(job.connections, view.hosts);
     let sent = if job.idempotent {
@@ -136,7 +141,7 @@
     sent
 }
 
-/// A request at a server. Dropped before it is over, its caller has left.
+/// Guard of a request in flight at a server. If it is dropped unfinished, the caller has disconnected.
 struct AbandonGuard<'a> {
     job: &'a Job,
     server: &'a Server,
--- a/crates/jacinthbeam-host/src/request/mod.rs
+++ b/crates/jacinthbeam-host/src/request/mod.rs
@@ -1,4 +1,4 @@
-//! What lives as long as one request.
+//! The path of one request: reading, routing, sending, retrying, refusing.
 
 pub mod answer;
 mod body;
--- a/crates/jacinthbeam-host/src/request/pick.rs
+++ b/crates/jacinthbeam-host/src/request/pick.rs
@@ -1,4 +1,4 @@
-//! Which backend server a request is sent to next.
+//! Picks the backend server that a request is sent to next.
 
 use std::{
     rc::Rc,
@@ -18,12 +18,17 @@
     version::{Grace, View},
 };
 
-/// Of the time in which a server that is leaving may still get requests, this much is kept for the way of a request to it: a new
-/// connection whose first packet is lost takes 200 ms, and a host whose share of the processor is used up waits for 100 ms. For the rest
-/// the server keeps getting requests for keys that have not moved yet.
+/// Margin before the end of a server's drain period within which no new request is sent to it.
+///
+/// It covers the delay until a request arrives: a new connection whose first packet is lost takes 200 ms, and a host that has
+/// used up its CPU quota is paused for 100 ms. Until then a draining server still gets requests for keys that have not
+/// moved yet.
 const TRANSIT_MARGIN: Duration = Duration::from_millis(300);
 
-/// The server to send a request to, other than those that were `tried`; `None` if no server may get it now.
+/// Returns the server to send a request to; `None` if no server may get it now.
+///
+/// A keyed request can only go to the owner of its key. For any other, the servers in `tried` are skipped. Counts the send if
+/// the server is in slow start.
 pub(super) fn pick_server(job: &Job, view: &View, tried: &[ServerId]) -> Option<Server> {
     let now = job.traffic.now();
     let settings = &job.traffic.settings;
@@ -35,7 +40,7 @@
         return None;
     }
     let server = match job.keyed {
-        true => owner(job, view, grace, now)?,
+        true => pick_owner(job, view, grace, now)?,
         false => pick_fastest(job, view, tried, now)?,
     };
     if view.cold_server(&server.id, now).is_some() {
@@ -47,32 +52,33 @@
     Some(server)
 }
 
-fn owner(job: &Job, view: &View, grace: Grace, now: Instant) -> Option<Server> {
+/// Returns the owner of the key if it may get the request now.
+fn pick_owner(job: &Job, view: &View, grace: Grace, now: Instant) -> Option<Server> {
     let owner = view.maps.get(&job.service)?.lookup(job.key?).owner.clone()?;
     let server = view.servers.get(&owner.server)?;
     let state = job.traffic.server(server);
-    let may = !state.ended.get()
-        && job.is_home(server)
+    let is_usable = !state.ended.get()
+        && job.allows_region_of(server)
         && view.may_send(&server.id, now, grace)
         && slow_start_allows(view, server, &state, now);
-    may.then(|| server.clone())
+    is_usable.then(|| server.clone())
 }
 
-/// Of the servers that may get the request, the one that is expected to answer first.
+/// Returns the server with the lowest expected latency among those that may get the request.
 fn pick_fastest(job: &Job, view: &View, tried: &[ServerId], now: Instant) -> Option<Server> {
     let domain = &job.traffic.settings.domain;
     let states = with_subset_flag(view, &job.service, domain)
         .into_iter()
-        .filter(|(server, _)| !tried.contains(&server.id) && job.is_home(server))
+        .filter(|(server, _)| !tried.contains(&server.id) && job.allows_region_of(server))
         .map(|(server, in_subset)| (server, in_subset, job.traffic.server(server)))
         .filter(|(server, _, state)| {
             !state.ended.get() && slow_start_allows(view, server, state, now)
         });
     let states: Vec<(&Server, bool, Rc<ServerState>)> = states.collect();
-    let seen: Vec<_> = states.iter().map(|(_, _, state)| state.stats.borrow()).collect();
-    let candidates = states.iter().zip(&seen).map(|((server, in_subset, _), seen)| Candidate {
+    let stats: Vec<_> = states.iter().map(|(_, _, state)| state.stats.borrow()).collect();
+    let candidates = states.iter().zip(&stats).map(|((server, in_subset, _), stats)| Candidate {
         id: *server,
-        stats: seen,
+        stats,
         slots: server.slots,
         near: server.domain == *domain,
         in_subset: *in_subset,
@@ -81,8 +87,9 @@
     choose::best(candidates, now, fastrand::f64).map(|server| (*server).clone())
 }
 
-/// The servers of a service that take work, and whether this host asks each of them first: some of its own failure domain, or of all if
-/// there are none.
+/// The servers of a service that take new work, each with whether it is in this host's preferred subset.
+///
+/// The subset is drawn from the servers of the host's own failure domain, or from all servers if there is none in it.
 fn with_subset_flag<'a>(
     view: &'a View,
     service: &'a ServiceName,
@@ -91,17 +98,17 @@
     let servers: Vec<&Server> = view.servers.of(service).collect();
     let near = servers.iter().filter(|server| server.domain == *domain).count();
     let count = if near == 0 { servers.len() } else { near };
-    let mut at = 0;
+    let mut index = 0;
     let in_subset = |server: &'a Server| {
         let counts = near == 0 || server.domain == *domain;
-        let in_subset = counts && is_in_subset(at, count, view.subset_position);
-        at += usize::from(counts);
+        let in_subset = counts && is_in_subset(index, count, view.subset_position);
+        index += usize::from(counts);
         (server, in_subset)
     };
     servers.into_iter().map(in_subset).collect()
 }
 
-/// Whether a server is warm, or may get a request of this host now while it is cold.
+/// Whether a server is warm, or its slow start allows a request of this host now.
 fn slow_start_allows(view: &View, server: &Server, state: &ServerState, now: Instant) -> bool {
     let Some(cold) = view.cold_server(&server.id, now) else { return true };
     cold.spacing.is_some_and(|spacing| state.pacer.get().may_send(now, spacing))
--- a/crates/jacinthbeam-host/src/request/refuse.rs
+++ b/crates/jacinthbeam-host/src/request/refuse.rs
@@ -1,4 +1,4 @@
-//! Refusals: what a caller is told of a request that got no answer of a backend server, and when it should come back.
+//! Refusals: the reason and the retry hint that a caller gets if there is no answer of a backend server.
 
 use std::time::{Duration, Instant};
 
@@ -13,13 +13,13 @@
     send_outcome::NotRun,
 };
 
-/// Hint for a caller whose key has no owner.
+/// Retry hint for a request whose key has no owner that can be reached.
 pub(super) const OWNER_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Hint from a host that has no configuration yet: the time of a read from the store.
+/// Retry hint of a host without a usable configuration: the time of a read from the store.
 pub(super) const CONFIG_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// The head of a request can't be used.
+/// Refuses a request with an invalid head.
 pub(super) fn bad_request(traffic: &Traffic, why: &str) -> Response<Full<Bytes>> {
     tracing::info!(part = "request", outcome = "bad-request", why = ?why);
     traffic.counters.bad_requests.add(1, &[]);
@@ -27,7 +27,7 @@
     answer::refused_as(&traffic.wire, StatusCode::BAD_REQUEST, None, &refusal, why)
 }
 
-/// The body of a request can't be used.
+/// Refuses a request whose body was not read, and closes its connection.
 pub(super) fn bad_body(
     traffic: &Traffic,
     id: &HeaderValue,
@@ -43,12 +43,12 @@
     };
     let refusal = Refusal::not_run(Reason::BadRequest);
     let mut res = answer::refused_as(&traffic.wire, status, Some(id), &refusal, text);
-    // The rest of the body may still come, and must not be read as a request.
+    // The rest of the body may still arrive, and must not be parsed as a request.
     res.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     res
 }
 
-/// Tells of a refusal, counts it, and makes its answer.
+/// Logs and counts a refusal, and builds its response.
 pub(super) fn refuse<'a>(
     traffic: &Traffic,
     id: &HeaderValue,
@@ -62,9 +62,9 @@
     answer::refused(&traffic.wire, id, refusal)
 }
 
-/// What is said of a request that surely did not run.
+/// Refusal of a request that did not run.
 ///
-/// `overload_delay` is the time after which there should be room for it.
+/// `overload_delay` is the retry hint if the server or the connection pool is full.
 pub(super) fn not_run(why: NotRun, overload_delay: Duration) -> Refusal {
     match why {
         NotRun::Full | NotRun::NoConnection => {
--- a/crates/jacinthbeam-host/src/request/send.rs
+++ b/crates/jacinthbeam-host/src/request/send.rs
@@ -1,4 +1,4 @@
-//! One request to one backend server, and what became of it.
+//! Sends one request to one backend server and determines the outcome.
 
 use std::{
     rc::Rc,
@@ -21,32 +21,35 @@
     wire::{Forward, ResponseKind},
 };
 
-/// A request that was read whole.
+/// A request that was read completely.
 #[derive(Debug, Clone)]
 pub struct BufferedRequest {
-    /// Its method.
+    /// HTTP method.
     pub method: Method,
     /// Path and query, as the caller sent them.
     pub target: Uri,
-    /// Its headers, without those of the caller's connection.
+    /// Headers without the hop-by-hop headers of the caller's connection.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Request body.
     pub body: Bytes,
-    /// The caller's name for the attempt.
+    /// Id of the caller's attempt.
     pub id: HeaderValue,
 }
 
-/// Longest answer that is held. It is read whole before the caller gets any of it, so that one that breaks off can't look
-/// complete and can be asked for again.
+/// Maximum size of a response body.
+///
+/// A response is buffered completely before the caller gets any of it, so that a truncated one can't look complete and the
+/// request can be retried.
 const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
-/// How long hyper may take to see that an exchange is over; it takes one turn of the connection's task.
+/// Time for hyper to mark the connection as ready after a response. It takes one poll of the connection's task.
 const READY_TIMEOUT: Duration = Duration::from_millis(5);
 
-/// How much longer than the time given to the server its own word of the deadline is waited for.
+/// How much longer than the deadline given to the server its response is awaited, so that the server's own answer to a passed
+/// deadline still arrives.
 const RESPONSE_GRACE: Duration = Duration::from_millis(60);
 
-/// Counts a request at a server for as long as it is there.
+/// Counts a request as in flight at a server until dropped.
 struct InFlightGuard(Rc<ServerState>, Instant);
 
 impl InFlightGuard {
@@ -62,7 +65,8 @@
     }
 }
 
-/// Sends a request and waits for the whole answer until `deadline`. Dropping the future cancels the request at the server.
+/// Sends a request and waits for the complete response until shortly after `deadline`. Dropping the future cancels the request
+/// at the server.
 pub async fn send(
     traffic: &Traffic,
     request: &BufferedRequest,
@@ -83,19 +87,19 @@
 
 fn record_outcome(traffic: &Traffic, state: &ServerState, sent: &SendOutcome, begun: Instant) {
     let now = traffic.now();
-    let mut seen = state.stats.borrow_mut();
+    let mut stats = state.stats.borrow_mut();
     match sent {
         SendOutcome::Answered { success: true, .. } => {
-            seen.on_answer(now.saturating_duration_since(begun))
+            stats.on_answer(now.saturating_duration_since(begun))
         }
-        SendOutcome::Answered { success: false, .. } => seen.on_error(),
-        SendOutcome::NotRun(NotRun::Full) => seen.on_full(now),
-        SendOutcome::NotRun(NotRun::NotListening | NotRun::Unreachable) => seen.on_failure(now),
+        SendOutcome::Answered { success: false, .. } => stats.on_error(),
+        SendOutcome::NotRun(NotRun::Full) => stats.on_full(now),
+        SendOutcome::NotRun(NotRun::NotListening | NotRun::Unreachable) => stats.on_failure(now),
         SendOutcome::NotRun(NotRun::OtherServer) => state.ended.set(true),
         SendOutcome::NotRun(NotRun::NotOwner | NotRun::NoConnection | NotRun::Refused) => {}
         SendOutcome::Lost(_) => {
-            seen.on_failure(now);
-            // Whatever ended this connection may have ended the idle ones without their showing it.
+            stats.on_failure(now);
+            // The cause of the broken connection may have broken the idle ones as well, without this host having noticed.
             state.pool.clear();
         }
     }
@@ -121,7 +125,7 @@
                 return Ok(read_response(traffic, request, &server.id, state, conn, res, by).await);
             }
             Ok(Err(mut err)) => match (err.take_message(), conn.reused) {
-                // hyper gives a request back only if nothing of it was written.
+                // hyper returns a request only if no byte of it was written.
                 (Some(_), true) => {
                     conn = map_pool_error(state.pool.connect(max_connections).await)?
                 }
@@ -179,7 +183,7 @@
         return SendOutcome::Lost(Lost::Broken);
     }
     let keep_alive = keep_alive(res.headers());
-    let last = closes_connection(res.headers());
+    let closes = closes_connection(res.headers());
     let (mut head, body) = res.into_parts();
     let read = tokio::time::timeout_at(by, Limited::new(body, MAX_RESPONSE_BYTES).collect()).await;
     let bytes = match read {
@@ -190,7 +194,7 @@
         }
         Err(_) => return not_run_outcome(kind).unwrap_or(SendOutcome::Lost(Lost::Late)),
     };
-    if !last {
+    if !closes {
         return_connection(traffic, state, conn, keep_alive).await;
     }
     if let Some(refused) = not_run_outcome(kind) {
@@ -199,13 +203,14 @@
     strip(&mut head.headers, &[]);
     // hyper writes the length of the body that it is given.
     head.headers.remove(header::CONTENT_LENGTH);
-    let good = kind == ResponseKind::Answer { success: true };
-    SendOutcome::Answered { res: Response::from_parts(head, Full::new(bytes)), success: good }
+    let success = kind == ResponseKind::Answer { success: true };
+    SendOutcome::Answered { res: Response::from_parts(head, Full::new(bytes)), success }
 }
 
-/// Keeps a connection whose answer was read whole, if the request was written whole too and nothing more has come.
+/// Returns a connection to the pool if the request was written completely and no bytes follow the response.
 ///
-/// A server may answer before it has read a long body. What it reads next must be the rest of that body, not another request.
+/// A server may answer before it has read a long body. The next bytes that it reads must be the rest of that body, not another
+/// request.
 async fn return_connection(
     traffic: &Traffic,
     state: &ServerState,
@@ -218,7 +223,7 @@
     }
 }
 
-/// What an answer says whose body is of no interest.
+/// The outcome of a response that says that the request did not run; `None` if it may have run.
 fn not_run_outcome(kind: ResponseKind) -> Option<SendOutcome> {
     let not_run = match kind {
         ResponseKind::Full => NotRun::Full,
@@ -237,7 +242,7 @@
     names.any(|name| name.trim().eq_ignore_ascii_case("close"))
 }
 
-/// The server's bound of an idle connection, if it says one: `timeout=` in whole seconds.
+/// The server's idle timeout from `keep-alive: timeout=`, in whole seconds.
 fn keep_alive(headers: &HeaderMap) -> Option<Duration> {
     let value = headers.get("keep-alive")?.to_str().ok()?;
     let timeout = value.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
--- a/crates/jacinthbeam-host/src/request/serve.rs
+++ b/crates/jacinthbeam-host/src/request/serve.rs
@@ -1,4 +1,5 @@
-//! From a caller's request to its answer: read, routed, sent, sent once more where that is allowed, or refused.
+//! Serves one request of a caller: reads it, routes it, sends it to a backend server, retries it where that is safe, or
+//! refuses it.
 
 use std::{
     collections::BTreeSet,
@@ -32,24 +33,28 @@
     wire::HeaderError,
 };
 
-/// Part of the objective that a request waits for a key whose owner has just given it back: a planned move takes as long as
-/// the requests that run on its keys, mostly below this, and leaves time for the request itself.
+/// Share of the route's objective that a request may wait while its key moves, after the former owner has released it.
+///
+/// A planned move takes as long as the requests that still run on the moving keys. That is mostly less than this, and the
+/// rest of the objective is left for the request itself.
 const MOVE_WAIT_SHARE: f64 = 0.4;
 
-/// Part of the objective that a request waits for a key without an owner that could be asked. A map that is on its way comes
-/// in milliseconds. An owner that is lost is away for seconds, and its callers are told so.
+/// Share of the route's objective that a request may wait for its key to get an owner that can be sent to.
+///
+/// An update of the ownership map arrives within milliseconds. A crashed owner is replaced only after seconds, so its
+/// callers are refused instead of kept waiting.
 const OWNER_WAIT_SHARE: f64 = 0.12;
 
-/// Headers of a request that stay whatever `connection` names.
+/// Request headers that are kept even if the caller's `connection` header names them.
 const KEPT_HEADERS: [HeaderName; 2] = [header::CONTENT_LENGTH, header::HOST];
 
-/// Most sends of one request, refused ones included.
+/// Maximum number of sends of one request, including those that a server refused.
 const MAX_SENDS: u32 = 3;
 
-/// Stands for the caller of a request that came over no connection of [`crate::connection::accept`].
+/// Caller address of a request that did not arrive over a connection of [`crate::connection::accept`].
 const UNKNOWN_CALLER: IpAddr = IpAddr::V4(Ipv4Addr::UNSPECIFIED);
 
-/// Answers a request.
+/// Serves a request of a caller and returns its answer or refusal.
 pub async fn serve(traffic: Rc<Traffic>, req: Request<Incoming>) -> Response<Full<Bytes>> {
     let received = traffic.now();
     let (parts, incoming) = req.into_parts();
@@ -88,17 +93,12 @@
         return bad_request(&traffic, "the service is divided by key and the request names none");
     }
     traffic.on_request(&name, view.hosts);
-    let mut kept = parts.headers;
-    strip(&mut kept, &KEPT_HEADERS);
-    kept.remove(header::CONTENT_LENGTH);
+    let mut headers = parts.headers;
+    strip(&mut headers, &KEPT_HEADERS);
+    headers.remove(header::CONTENT_LENGTH);
     let target = parts.uri.path_and_query().cloned().map(http::Uri::from).unwrap_or_default();
-    let request = BufferedRequest {
-        method: parts.method,
-        target,
-        headers: kept,
-        body,
-        id: caller.id.clone(),
-    };
+    let request =
+        BufferedRequest { method: parts.method, target, headers, body, id: caller.id.clone() };
     let usage = Use::new(&traffic.usage, service.team.as_ref(), &name);
     let job = Job {
         traffic: traffic.clone(),
@@ -122,8 +122,9 @@
     run(job).await
 }
 
-/// Counts a request for a key, and asks whether its owner may be sent it. One that is asked for more than it can do would
-/// answer this request too late, and the ones after it.
+/// Counts a keyed request for the load report and returns whether admission control lets it through to the key's owner.
+///
+/// An owner that gets more than its capacity would answer this request too late, and the following ones as well.
 fn is_admitted(job: &Job, view: &View, key: Key) -> bool {
     let owner = view.maps.get(&job.service).and_then(|map| map.lookup(key).owner.clone());
     let owner = owner.map(|owner| owner.server);
@@ -144,7 +145,7 @@
     Some((name, service))
 }
 
-/// Sends the request until it is answered, has to be refused, or may have run and must not run again.
+/// Sends the request, and retries it until it is answered, has to be refused, or may have run and must not run twice.
 async fn run(job: Job) -> Response<Full<Bytes>> {
     let job = Rc::new(job);
     let mut sends = 0;
@@ -153,7 +154,7 @@
     let mut crashed = BTreeSet::new();
     loop {
         let view = job.traffic.view();
-        // It may have waited, and its repeat may come, after others have shown what it does.
+        // Checked before each send: crashes under this request may have become known while it waited or between its sends.
         if let Some(quarantine) = job.crash_tracker().quarantine(&view) {
             return match last {
                 None | Some(SendOutcome::NotRun(_)) => refuse_for_crashes(&job, quarantine),
@@ -184,7 +185,8 @@
         let retry = match &sent {
             SendOutcome::Answered { success: true, .. } => false,
             SendOutcome::Answered { success: false, .. } => job.may_run_again(sends) && !job.keyed,
-            // The same server would refuse it again, and each arrival counts against the budget of all hosts.
+            // The same server would refuse it again, and each retry uses up the fleet's retry budget. So a retry waits for
+            // another owner.
             SendOutcome::NotRun(NotRun::NotOwner) if job.keyed => {
                 sends < MAX_SENDS && wait_for_ownership_change(&job, &view).await
             }
@@ -211,7 +213,8 @@
     }
 }
 
-/// Of two outcomes, the one that the caller has to be told: what may have run outweighs what surely did not.
+/// Returns the outcome of two sends that is reported to the caller: a request that ran or may have run takes precedence over
+/// one that did not run.
 fn more_severe(earlier: Option<SendOutcome>, later: SendOutcome) -> SendOutcome {
     match (earlier, later) {
         (
@@ -223,7 +226,7 @@
     }
 }
 
-/// Waits until the key has another owner or token than in `view`. Returns whether it has.
+/// Waits until the owner or the fencing token of the key differs from that in `view`. Returns whether it does.
 async fn wait_for_ownership_change(job: &Job, view: &View) -> bool {
     let of = |view: &View| {
         let held = view.maps.get(&job.service)?.lookup(job.key?);
