--- a/crates/jacinthbeam-host/src/request/job.rs
+++ b/crates/jacinthbeam-host/src/request/job.rs
@@ -79,7 +79,7 @@
 
     /// Whether the route's home regions allow the region of a server.
     pub(super) fn allows_region_of(&self, server: &Server) -> bool {
-        self.route.is_home(self.traffic.settings.regions.get(&server.domain))
+        self.route.allows_region(self.traffic.settings.regions.get(&server.domain))
     }
 
     /// Whether the owner of the key is outside the route's home regions, so that waiting for it is pointless.
--- a/crates/jacinthbeam-route/src/route.rs
+++ b/crates/jacinthbeam-route/src/route.rs
@@ -36,7 +36,7 @@
 
 impl Route {
     /// Whether its requests may be sent to `region`. A server of an unknown region gets none that are bound to their homes.
-    pub fn is_home(&self, region: Option<&Region>) -> bool {
+    pub fn allows_region(&self, region: Option<&Region>) -> bool {
         let is_listed = || region.is_some_and(|region| self.home_regions.contains(region));
         self.home_regions.is_empty() || is_listed()
     }
--- a/crates/jacinthbeam-route/tests/route.rs
+++ b/crates/jacinthbeam-route/tests/route.rs
@@ -97,8 +97,8 @@
 fn a_route_with_home_regions_allows_no_others() {
     let home: Region = "west".parse().unwrap();
     let mut bound = route("r", "/", to("tiles"));
-    assert!(bound.is_home(None), "nothing binds it");
+    assert!(bound.allows_region(None), "nothing binds it");
     bound.home_regions = [home.clone()].into();
-    assert!(bound.is_home(Some(&home)));
-    assert!(!bound.is_home(Some(&"east".parse().unwrap())) && !bound.is_home(None));
+    assert!(bound.allows_region(Some(&home)));
+    assert!(!bound.allows_region(Some(&"east".parse().unwrap())) && !bound.allows_region(None));
 }
