--- a/crates/jacinthbeam-dispatch/src/budget.rs
+++ b/crates/jacinthbeam-dispatch/src/budget.rs
@@ -26,16 +26,16 @@
 
 /// Parts that a window is counted in. A window that begins within a part holds one part of requests less than is known, so what
 /// is allowed is low by a twentieth.
-const PARTS: u64 = 20;
+const BUCKETS_PER_WINDOW: u64 = 20;
 
 /// Parts of half a window.
-const HALF: u64 = PARTS / 2;
+const HALF_WINDOW: u64 = BUCKETS_PER_WINDOW / 2;
 
 /// Parts that are kept: a window, the one before it, and the two that their ends cut.
-const KEPT: u64 = 2 * PARTS + 2;
+const RETAINED_BUCKETS: u64 = 2 * BUCKETS_PER_WINDOW + 2;
 
 /// Lives of a process within one window that its part of the fixed number has to do for.
-const RESTARTS: f64 = 2.0;
+const STARTS_PER_WINDOW: f64 = 2.0;
 
 /// This host's share of the budget of one service.
 #[derive(Debug)]
@@ -45,20 +45,20 @@
     hosts: u32,
     begun: Instant,
     /// In the order of their numbers; parts without any count are left out.
-    parts: VecDeque<Part>,
+    buckets: VecDeque<Bucket>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Part {
+struct Bucket {
     number: u64,
     requests: u32,
-    repeats: u32,
+    retries: u32,
 }
 
 impl RetryBudget {
     /// A budget of which nothing is used at `now`, to be shared among `hosts`, or 0 if their number is not known.
     pub fn new(options: Options, hosts: u32, now: Instant) -> Self {
-        Self { options, hosts, begun: now, parts: VecDeque::new() }
+        Self { options, hosts, begun: now, buckets: VecDeque::new() }
     }
 
     /// Changes the number of hosts that share.
@@ -73,67 +73,67 @@
     fn fixed(&self) -> f64 {
         match self.hosts {
             0 => 0.0,
-            hosts => self.options.burst / f64::from(hosts) / RESTARTS,
+            hosts => self.options.burst / f64::from(hosts) / STARTS_PER_WINDOW,
         }
     }
 
     /// Counts a request of a caller.
     pub fn on_request(&mut self, now: Instant) {
-        self.part(now).requests += 1;
+        self.bucket(now).requests += 1;
     }
 
     /// Takes one repeat out of the budget, if there is one.
     pub fn take(&mut self, now: Instant) -> bool {
-        let may = self.left(now) >= 1.0;
-        if may {
-            self.part(now).repeats += 1;
+        let allowed = self.left(now) >= 1.0;
+        if allowed {
+            self.bucket(now).retries += 1;
         }
-        may
+        allowed
     }
 
     /// Repeats that are left now: the least of what each window that holds this moment leaves.
     pub fn left(&self, now: Instant) -> f64 {
-        let current = self.number(now);
-        let first = current.saturating_sub(PARTS);
-        let left = (first..=current).map(|begin| self.left_from(begin));
+        let current = self.bucket_number(now);
+        let first = current.saturating_sub(BUCKETS_PER_WINDOW);
+        let left = (first..=current).map(|begin| self.left_in_windows_from(begin));
         left.fold(f64::INFINITY, f64::min)
     }
 
     /// Repeats that are left for the windows that begin within part `begin`.
     ///
     /// Such a window holds repeats of that part at the most, and all requests of the next one on at the least.
-    fn left_from(&self, begin: u64) -> f64 {
-        let repeats = self.sum(begin, begin + PARTS + 1, |part| part.repeats);
+    fn left_in_windows_from(&self, begin: u64) -> f64 {
+        let retries = self.sum(begin, begin + BUCKETS_PER_WINDOW + 1, |bucket| bucket.retries);
         let requests = |back: u64| {
-            let end = (begin + PARTS).saturating_sub(back);
-            self.sum((begin + 1).saturating_sub(back), end, |part| part.requests)
+            let end = (begin + BUCKETS_PER_WINDOW).saturating_sub(back);
+            self.sum((begin + 1).saturating_sub(back), end, |bucket| bucket.requests)
         };
-        let mean = (requests(0) + requests(HALF) + requests(PARTS)) / 3.0;
-        self.options.ratio * mean + self.fixed() - repeats
+        let mean = (requests(0) + requests(HALF_WINDOW) + requests(BUCKETS_PER_WINDOW)) / 3.0;
+        self.options.ratio * mean + self.fixed() - retries
     }
 
     /// Sum over the parts from `first` to before `end`.
-    fn sum(&self, first: u64, end: u64, count: impl Fn(&Part) -> u32) -> f64 {
-        let within = self.parts.iter().filter(|part| (first..end).contains(&part.number));
-        within.map(|part| f64::from(count(part))).sum()
+    fn sum(&self, first: u64, end: u64, count: impl Fn(&Bucket) -> u32) -> f64 {
+        let within = self.buckets.iter().filter(|bucket| (first..end).contains(&bucket.number));
+        within.map(|bucket| f64::from(count(bucket))).sum()
     }
 
     /// Number of the part that `now` lies in. The first ones are left out, so that windows before the beginning have numbers too.
-    fn number(&self, now: Instant) -> u64 {
-        let length = self.options.window.as_nanos() / u128::from(PARTS);
+    fn bucket_number(&self, now: Instant) -> u64 {
+        let length = self.options.window.as_nanos() / u128::from(BUCKETS_PER_WINDOW);
         let since = now.saturating_duration_since(self.begun).as_nanos();
-        KEPT + (since / length.max(1)) as u64
+        RETAINED_BUCKETS + (since / length.max(1)) as u64
     }
 
-    fn part(&mut self, now: Instant) -> &mut Part {
-        let number = self.number(now);
-        while self.parts.front().is_some_and(|part| part.number + KEPT < number) {
-            self.parts.pop_front();
+    fn bucket(&mut self, now: Instant) -> &mut Bucket {
+        let number = self.bucket_number(now);
+        while self.buckets.front().is_some_and(|bucket| bucket.number + RETAINED_BUCKETS < number) {
+            self.buckets.pop_front();
         }
         // A clock that is read by several tasks never goes back, but the last part is as good as an earlier one.
-        if self.parts.back().is_none_or(|part| part.number < number) {
-            self.parts.push_back(Part { number, requests: 0, repeats: 0 });
+        if self.buckets.back().is_none_or(|bucket| bucket.number < number) {
+            self.buckets.push_back(Bucket { number, requests: 0, retries: 0 });
         }
-        self.parts.back_mut().expect("a part was just added if there was none")
+        self.buckets.back_mut().expect("a bucket was just added if there was none")
     }
 }
--- a/crates/jacinthbeam-dispatch/src/choose.rs
+++ b/crates/jacinthbeam-dispatch/src/choose.rs
@@ -23,22 +23,22 @@
 
 /// What a server elsewhere must be faster by. Its answer is charged by the byte; 60 ms is a tenth of the usual objective,
 /// which an ordinary request loses without harm.
-const FAR: Duration = Duration::from_millis(60);
+const REMOTE_DOMAIN_PENALTY: Duration = Duration::from_millis(60);
 
 /// What a server that this host seldom asks must be faster by.
-const UNFAMILIAR: Duration = Duration::from_millis(100);
+const OUTSIDE_SUBSET_PENALTY: Duration = Duration::from_millis(100);
 
 /// A server that fails a part of its requests counts as this much slower.
-const FAILING: Duration = Duration::from_millis(600);
+const FAILING_PENALTY: Duration = Duration::from_millis(600);
 
 /// A server that was full or unreachable a moment ago comes after all others.
-const LAST: Duration = Duration::from_secs(10);
+const UNAVAILABLE_PENALTY: Duration = Duration::from_secs(10);
 
 /// Factor for a server that has just started.
-const COLD: f64 = 2.0;
+const COLD_FACTOR: f64 = 2.0;
 
 /// Spread of the estimates: hosts that have seen alike must not all pick the same server at the same moment.
-const SPREAD: f64 = 0.3;
+const JITTER: f64 = 0.3;
 
 /// The candidate that is expected to answer first. `random` gives numbers from 0 to 1.
 pub fn best<'a, Id>(
@@ -48,7 +48,7 @@
 ) -> Option<&'a Id> {
     let mut best: Option<(Duration, &Id)> = None;
     for candidate in candidates {
-        let cost = cost(&candidate, now).mul_f64(1.0 + SPREAD * random());
+        let cost = cost(&candidate, now).mul_f64(1.0 + JITTER * random());
         if best.is_none_or(|(lowest, _)| cost < lowest) {
             best = Some((cost, candidate.id));
         }
@@ -57,23 +57,23 @@
 }
 
 fn cost<Id>(candidate: &Candidate<'_, Id>, now: Instant) -> Duration {
-    let seen = candidate.stats;
-    let looks = candidate.near && candidate.in_subset;
-    let mut cost = seen.expected(now, candidate.slots, looks);
+    let stats = candidate.stats;
+    let explores = candidate.near && candidate.in_subset;
+    let mut cost = stats.expected_latency(now, candidate.slots, explores);
     if !candidate.in_subset {
-        cost += UNFAMILIAR;
+        cost += OUTSIDE_SUBSET_PENALTY;
     }
     if candidate.cold {
-        cost = cost.mul_f64(COLD);
+        cost = cost.mul_f64(COLD_FACTOR);
     }
     if !candidate.near {
-        cost += FAR;
+        cost += REMOTE_DOMAIN_PENALTY;
     }
-    if seen.is_failing() {
-        cost += FAILING;
+    if stats.is_failing() {
+        cost += FAILING_PENALTY;
     }
-    if seen.is_full(now) || seen.is_avoided(now) {
-        cost += LAST;
+    if stats.is_full(now) || stats.is_avoided(now) {
+        cost += UNAVAILABLE_PENALTY;
     }
     cost
 }
--- a/crates/jacinthbeam-dispatch/src/slow_start.rs
+++ b/crates/jacinthbeam-dispatch/src/slow_start.rs
@@ -26,22 +26,22 @@
 
 impl Bounds {
     /// Most requests that a cold server of this rate may get in any second.
-    pub fn most(&self, rate: Rate) -> f64 {
+    pub fn max_per_second(&self, rate: Rate) -> f64 {
         rate.per_second() * self.overrun + self.slack
     }
 }
 
 /// Senders of a cold server in this many views of the list of hosts at a time stay within the bound.
-const VIEWS: f64 = 2.0;
+const CONCURRENT_HOST_LISTS: f64 = 2.0;
 
 /// Sends of one host in any second.
-const SENDS_A_SECOND: f64 = 2.0;
+const MAX_SENDS_PER_SECOND: f64 = 2.0;
 
 /// Shortest spacing of one host's sends: at most [`SENDS_A_SECOND`] of them lie within any second.
 const SHORTEST_SPACING: Duration = Duration::from_millis(550);
 
 /// Spacing that leaves one send in any second.
-const LONG_SPACING: Duration = Duration::from_millis(1050);
+const SINGLE_SEND_SPACING: Duration = Duration::from_millis(1050);
 
 /// How a fleet shares the work of one cold server.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -55,12 +55,13 @@
 impl Share {
     /// The share for servers that take `rate` while they are cold.
     pub fn of(rate: Rate, bounds: &Bounds) -> Self {
-        let most = bounds.most(rate);
-        let (sends, shortest) = match most >= VIEWS * SENDS_A_SECOND {
-            true => (SENDS_A_SECOND, SHORTEST_SPACING),
-            false => (1.0, LONG_SPACING),
+        let max_per_second = bounds.max_per_second(rate);
+        let (sends, shortest) = match max_per_second >= CONCURRENT_HOST_LISTS * MAX_SENDS_PER_SECOND
+        {
+            true => (MAX_SENDS_PER_SECOND, SHORTEST_SPACING),
+            false => (1.0, SINGLE_SEND_SPACING),
         };
-        let senders = ((most / VIEWS / sends) as usize).max(1);
+        let senders = ((max_per_second / CONCURRENT_HOST_LISTS / sends) as usize).max(1);
         let sustained = (rate.per_second() * bounds.overrun).max(f64::MIN_POSITIVE);
         let spacing = Duration::try_from_secs_f64(senders as f64 / sustained);
         Self { senders, spacing: spacing.unwrap_or(Duration::MAX).max(shortest) }
@@ -75,15 +76,15 @@
     senders: usize,
 ) -> bool {
     let weight = |host: &HostId| KeyHash::of(format!("{server} {host}").as_bytes());
-    let mine = weight(host);
-    let mut listed = false;
-    let mut above = 0;
+    let own = weight(host);
+    let mut is_listed = false;
+    let mut heavier = 0;
     for other in hosts {
-        listed |= other == host;
-        above += usize::from(weight(other) > mine);
+        is_listed |= other == host;
+        heavier += usize::from(weight(other) > own);
     }
     // A host that is not on its own list knows too little of the others.
-    listed && above < senders
+    is_listed && heavier < senders
 }
 
 /// Sends of this host to one cold server.
--- a/crates/jacinthbeam-dispatch/src/subset.rs
+++ b/crates/jacinthbeam-dispatch/src/subset.rs
@@ -17,10 +17,10 @@
 }
 
 /// Whether the server at `at` of `count` is one of those that the host asks first.
-pub fn is_in_subset(at: usize, count: usize, place: Position) -> bool {
-    if count <= SUBSET_SIZE || place.hosts == 0 {
+pub fn is_in_subset(index: usize, count: usize, position: Position) -> bool {
+    if count <= SUBSET_SIZE || position.hosts == 0 {
         return true;
     }
-    let first = place.index as usize * count / place.hosts as usize;
-    (at + count - first) % count < SUBSET_SIZE
+    let first = position.index as usize * count / position.hosts as usize;
+    (index + count - first) % count < SUBSET_SIZE
 }
--- a/crates/jacinthbeam-dispatch/tests/slow_start.rs
+++ b/crates/jacinthbeam-dispatch/tests/slow_start.rs
@@ -68,7 +68,7 @@
 }
 
 fn bound() -> usize {
-    Bounds::default().most(RATE) as usize
+    Bounds::default().max_per_second(RATE) as usize
 }
 
 /// Guards against a fleet of any size that sends a cold server more than it takes.
