--- a/crates/jacinthbeam-dispatch/src/budget.rs
+++ b/crates/jacinthbeam-dispatch/src/budget.rs
@@ -1,50 +1,53 @@
-//! How many requests this host may send to a second backend server.
+//! Retry budget: how many retries this host may send for a service.
 //!
-//! All hosts together have a budget for each service: a share of the requests of a window of time, and a fixed number besides. The
-//! share may be taken of the window itself, of the one that began half a window before it, or of the one before it.
+//! All hosts together have one budget for each service: in any window, the retries may amount to a ratio of the requests plus a
+//! fixed burst. The requests may be counted in the window itself, in the one that begins half a window earlier, or in the one
+//! that begins a whole window earlier, whichever has most.
 //!
-//! A host can't know what the others spend, so each keeps to the share of its own requests and to its part of the fixed number. A sum
-//! of bounds is a bound of the sum only if all hosts take the share of the same window, and hosts see load rise and fall at
-//! different times. So none of them chooses: each takes the share of the mean of the three windows, which is never above the largest
-//! of them, summed over any number of hosts.
+//! A host doesn't know what the others spend, so each keeps to the ratio of its own requests and to its part of the burst. The
+//! limits of all hosts only add up to the fleet's limit if all of them use the same window, but each host sees the load rise and
+//! fall at a different time and would choose another one. So each uses the mean of the three windows. Summed over any number of
+//! hosts, that mean never exceeds the largest of the three windows of the fleet.
 
 use std::{
     collections::VecDeque,
     time::{Duration, Instant},
 };
 
-/// The budget of all hosts together.
+/// The budget of one service for all hosts together.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Options {
-    /// Repeats allowed for each request.
+    /// Retries allowed for each request.
     pub ratio: f64,
-    /// Repeats allowed besides, in each window.
+    /// Additional retries allowed in each window.
     pub burst: f64,
-    /// Length of the window, which may lie anywhere.
+    /// Length of the window. The limit holds for every window of this length.
     pub window: Duration,
 }
 
-/// Parts that a window is counted in. A window that begins within a part holds one part of requests less than is known, so what
-/// is allowed is low by a twentieth.
+/// Buckets that a window is divided into.
+///
+/// A window may begin in the middle of a bucket, and the requests of that bucket are then not counted. The allowance is lower
+/// by a twentieth for it.
 const BUCKETS_PER_WINDOW: u64 = 20;
 
-/// Parts of half a window.
+/// Buckets of half a window.
 const HALF_WINDOW: u64 = BUCKETS_PER_WINDOW / 2;
 
-/// Parts that are kept: a window, the one before it, and the two that their ends cut.
+/// Buckets that are kept: a window, the one before it, and the two buckets that are cut by their ends.
 const RETAINED_BUCKETS: u64 = 2 * BUCKETS_PER_WINDOW + 2;
 
-/// Lives of a process within one window that its part of the fixed number has to do for.
+/// Process starts within one window that a host's part of the burst has to cover.
 const STARTS_PER_WINDOW: f64 = 2.0;
 
 /// This host's share of the budget of one service.
 #[derive(Debug)]
 pub struct RetryBudget {
     options: Options,
-    /// Hosts among which the fixed number is divided; 0 while that is not known.
+    /// Hosts that the burst is divided among; 0 while their number is unknown.
     hosts: u32,
     begun: Instant,
-    /// In the order of their numbers; parts without any count are left out.
+    /// Ordered by number. Buckets without any count are left out.
     buckets: VecDeque<Bucket>,
 }
 
@@ -56,20 +59,20 @@
 }
 
 impl RetryBudget {
-    /// A budget of which nothing is used at `now`, to be shared among `hosts`, or 0 if their number is not known.
+    /// Creates an unused budget at `now`, whose burst is divided among `hosts`; 0 if their number is unknown.
     pub fn new(options: Options, hosts: u32, now: Instant) -> Self {
         Self { options, hosts, begun: now, buckets: VecDeque::new() }
     }
 
-    /// Changes the number of hosts that share.
+    /// Sets the number of hosts that the burst is divided among.
     pub fn set_hosts(&mut self, hosts: u32) {
         self.hosts = hosts;
     }
 
-    /// This host's part of the fixed number.
+    /// This host's part of the burst.
     ///
-    /// A process that starts again has forgotten what it used, within the same window. Hosts that all restart together would
-    /// use up the fixed number twice, so each takes half of its part at the most.
+    /// A restarted process has lost the count of what it used in the current window. If all hosts restart together, they would
+    /// use the burst twice, so each uses at most half of its part.
     fn fixed(&self) -> f64 {
         match self.hosts {
             0 => 0.0,
@@ -77,12 +80,12 @@
         }
     }
 
-    /// Counts a request of a caller.
+    /// Counts a request of a caller. Retries don't count as requests.
     pub fn on_request(&mut self, now: Instant) {
         self.bucket(now).requests += 1;
     }
 
-    /// Takes one repeat out of the budget, if there is one.
+    /// Takes one retry from the budget. Returns whether there was one left.
     pub fn take(&mut self, now: Instant) -> bool {
         let allowed = self.left(now) >= 1.0;
         if allowed {
@@ -91,7 +94,7 @@
         allowed
     }
 
-    /// Repeats that are left now: the least of what each window that holds this moment leaves.
+    /// Retries that are left now: the minimum over all windows that contain `now`.
     pub fn left(&self, now: Instant) -> f64 {
         let current = self.bucket_number(now);
         let first = current.saturating_sub(BUCKETS_PER_WINDOW);
@@ -99,9 +102,10 @@
         left.fold(f64::INFINITY, f64::min)
     }
 
-    /// Repeats that are left for the windows that begin within part `begin`.
+    /// Retries that are left for the windows that begin within bucket `begin`.
     ///
-    /// Such a window holds repeats of that part at the most, and all requests of the next one on at the least.
+    /// Conservative for a window that begins anywhere in the bucket: all retries of the bucket are counted, and its requests
+    /// are not.
     fn left_in_windows_from(&self, begin: u64) -> f64 {
         let retries = self.sum(begin, begin + BUCKETS_PER_WINDOW + 1, |bucket| bucket.retries);
         let requests = |back: u64| {
@@ -112,13 +116,14 @@
         self.options.ratio * mean + self.fixed() - retries
     }
 
-    /// Sum over the parts from `first` to before `end`.
+    /// Sum over the buckets `first..end`.
     fn sum(&self, first: u64, end: u64, count: impl Fn(&Bucket) -> u32) -> f64 {
         let within = self.buckets.iter().filter(|bucket| (first..end).contains(&bucket.number));
         within.map(|bucket| f64::from(count(bucket))).sum()
     }
 
-    /// Number of the part that `now` lies in. The first ones are left out, so that windows before the beginning have numbers too.
+    /// Number of the bucket that contains `now`. Numbers start at [`RETAINED_BUCKETS`], so that the windows before the start have
+    /// numbers too.
     fn bucket_number(&self, now: Instant) -> u64 {
         let length = self.options.window.as_nanos() / u128::from(BUCKETS_PER_WINDOW);
         let since = now.saturating_duration_since(self.begun).as_nanos();
@@ -130,7 +135,7 @@
         while self.buckets.front().is_some_and(|bucket| bucket.number + RETAINED_BUCKETS < number) {
             self.buckets.pop_front();
         }
-        // A clock that is read by several tasks never goes back, but the last part is as good as an earlier one.
+        // The clock is monotonic. If `now` lay before the last bucket nevertheless, the last one would be used.
         if self.buckets.back().is_none_or(|bucket| bucket.number < number) {
             self.buckets.push_back(Bucket { number, requests: 0, retries: 0 });
         }
--- a/crates/jacinthbeam-dispatch/src/choose.rs
+++ b/crates/jacinthbeam-dispatch/src/choose.rs
@@ -1,4 +1,4 @@
-//! Choice among servers that do the same work.
+//! Chooses among the servers of a service by expected latency.
 
 use std::time::{Duration, Instant};
 
@@ -7,40 +7,41 @@
 /// A server that could take the request.
 #[derive(Debug)]
 pub struct Candidate<'a, Id> {
-    /// Who it is.
+    /// Identifies the server.
     pub id: &'a Id,
-    /// What was seen of it.
+    /// This host's observations of it.
     pub stats: &'a ServerStats,
-    /// Requests that it works on at a time.
+    /// Requests that it processes concurrently.
     pub slots: u32,
     /// Whether it runs in this host's failure domain.
     pub near: bool,
-    /// Whether it is one of those that this host asks first.
+    /// Whether it is in this host's preferred subset.
     pub in_subset: bool,
-    /// Whether it has just started and is slow for a while.
+    /// Whether it is cold: recently started and still slow.
     pub cold: bool,
 }
 
-/// What a server elsewhere must be faster by. Its answer is charged by the byte; 60 ms is a tenth of the usual objective,
-/// which an ordinary request loses without harm.
+/// Penalty for a server in another failure domain, whose responses are charged by the byte.
+///
+/// 60 ms is a tenth of the usual objective, which an ordinary request can lose without harm.
 const REMOTE_DOMAIN_PENALTY: Duration = Duration::from_millis(60);
 
-/// What a server that this host seldom asks must be faster by.
+/// Penalty for a server outside this host's preferred subset.
 const OUTSIDE_SUBSET_PENALTY: Duration = Duration::from_millis(100);
 
-/// A server that fails a part of its requests counts as this much slower.
+/// Penalty for a server that fails a large share of its requests.
 const FAILING_PENALTY: Duration = Duration::from_millis(600);
 
-/// A server that was full or unreachable a moment ago comes after all others.
+/// Penalty for a server that was full or unreachable recently. It ranks such a server after all others.
 const UNAVAILABLE_PENALTY: Duration = Duration::from_secs(10);
 
-/// Factor for a server that has just started.
+/// Latency factor of a cold server.
 const COLD_FACTOR: f64 = 2.0;
 
-/// Spread of the estimates: hosts that have seen alike must not all pick the same server at the same moment.
+/// Random spread of the estimates, so that hosts with similar observations don't all pick the same server at the same time.
 const JITTER: f64 = 0.3;
 
-/// The candidate that is expected to answer first. `random` gives numbers from 0 to 1.
+/// Returns the candidate with the lowest expected latency. `random` returns numbers from 0 to 1.
 pub fn best<'a, Id>(
     candidates: impl Iterator<Item = Candidate<'a, Id>>,
     now: Instant,
--- a/crates/jacinthbeam-dispatch/src/lib.rs
+++ b/crates/jacinthbeam-dispatch/src/lib.rs
@@ -1,8 +1,9 @@
-//! Which backend server a request is sent to, whether it may be sent once more, and what a refusal says.
+//! Load balancing on one host: which backend server gets a request, whether a request may be retried, and the retry hint of a
+//! refusal.
 //!
-//! All of it is decided from what one host has seen itself: how long each server took, how many requests this host has there
-//! now, what the server refused. No I/O and no clock of its own. The patterns answered and the grounds of each figure stand
-//! beside the constants.
+//! Every decision uses only what this host has observed itself: the latency of each server, the requests that it has in flight
+//! there, and what the server refused. There is no I/O, and callers pass in the time. The reason for each figure is given at
+//! its constant.
 
 pub mod budget;
 pub mod choose;
--- a/crates/jacinthbeam-dispatch/src/refusal.rs
+++ b/crates/jacinthbeam-dispatch/src/refusal.rs
@@ -1,29 +1,30 @@
-//! When a refused caller should come back.
+//! Retry hints of refusals.
 
 use std::time::Duration;
 
-/// Part of the remaining time that callers are willing to wait before they come back; a longer hint would be ignored.
+/// Share of the caller's remaining time that a retry hint may use. Callers ignore a longer hint.
 const MAX_DEADLINE_SHARE: f64 = 1.0 / 3.0;
 
-/// Shortest hint. Sooner, the caller would meet the same full server.
+/// Shortest hint. An earlier retry would find the same server still full.
 const MIN_DELAY: Duration = Duration::from_millis(100);
 
-/// Part of its objective after which a caller is asked back whose server is full.
+/// Share of the route's objective after which a caller whose server is full should retry.
 ///
-/// In a quarter of it a slot or two become free, since objectives are some three times the work; and what is left is still enough to be
-/// answered in time. With 250 ms for all, each such request with an objective of 400 ms was late: on a day on which all servers of a
-/// service refuse half of what they get for eight seconds, 2 % more of what is owed is earned (eight plays).
+/// Objectives are about three times the processing time, so a slot or two become free within a quarter of the objective, and
+/// the rest still suffices for a timely answer. With a fixed hint of 250 ms, every such request with an objective of 400 ms was
+/// late. Where all servers of a service refuse half of their requests for eight seconds, the relative hint earns 2 % more of
+/// the possible revenue (eight simulation runs).
 const OVERLOAD_DELAY_SHARE: f64 = 0.25;
 
-/// When there should be room for a request with this objective that was refused for want of it.
+/// Expected time until a server has capacity again for a request with this objective that was refused as overloaded.
 pub fn overload_retry_delay(objective: Duration) -> Duration {
     objective.mul_f64(OVERLOAD_DELAY_SHARE)
 }
 
-/// Hints are spread over this much of the time from the expected one upward, so that callers refused together come back apart.
+/// Relative spread of the hints, from the expected delay upward, so that callers refused together don't retry together.
 const JITTER: f64 = 0.6;
 
-/// Time after which there should be room, given when that is expected and how much time the caller has left.
+/// Retry hint for an expected `delay`, bounded by a share of the time that the caller has `left`.
 ///
 /// `random` is a number from 0 to 1.
 pub fn retry_after(delay: Duration, left: Duration, random: f64) -> Duration {
--- a/crates/jacinthbeam-dispatch/src/server.rs
+++ b/crates/jacinthbeam-dispatch/src/server.rs
@@ -1,46 +1,50 @@
-//! What this host has seen of one backend server.
+//! This host's observations of one backend server.
 
 use std::time::{Duration, Instant};
 
-/// Weight of a new answer in the mean: the last eight or so count, which a host sees of a server within some seconds.
+/// Weight of a new answer in the moving averages. About the last eight answers count, which a host receives from a server
+/// within a few seconds.
 const EWMA_WEIGHT: f64 = 0.2;
 
-/// Time of an answer assumed before the first: a middling value, so that a new server is tried but not flooded.
+/// Latency assumed before the first answer: a medium value, so that a new server is tried but not flooded.
 const INITIAL_LATENCY: Duration = Duration::from_millis(200);
 
-/// Pause after a server refused a request for want of room. Half the time that one of its requests takes, so that about one
-/// slot has become free.
+/// Backoff after a server refused a request because it was full: half the duration of a request, within which about one slot
+/// becomes free.
 const FULL_BACKOFF: Duration = Duration::from_millis(100);
 
-/// Pause after a server could not be reached, doubled with each further failure up to [`LONGEST_AVOIDED`].
+/// Backoff after a server could not be reached. It doubles with each further failure, up to [`MAX_FAILURE_BACKOFF`].
 const MIN_FAILURE_BACKOFF: Duration = Duration::from_millis(500);
 
-/// Longest such pause: a server that has come back gets work again within it.
+/// Longest backoff after failures. A server that is reachable again gets requests again within this time.
 const MAX_FAILURE_BACKOFF: Duration = Duration::from_secs(4);
 
-/// How fast the time that is assumed of a server without an answer loses its weight: it counts half after this time, a third after
-/// twice as long. A host tries a new server within a second or two, each at another moment.
+/// Time after which [`INITIAL_LATENCY`] counts only half for a server that has not answered yet; after twice as long it counts a
+/// third.
+///
+/// Each host thereby tries a new server within a second or two, and hosts do so at different times.
 const INITIAL_DECAY_TIME: Duration = Duration::from_millis(500);
 
-/// The same for a time that was measured, once the server has had no request of this host for as long.
+/// The same for a measured mean, counted from this host's last request to the server.
 ///
-/// A server that was slow for a while, or was measured when it had just started, is never asked again while the others have room, and so
-/// never known to be fast again. One that is twice as slow as the others gets a request of each host every six seconds.
+/// Without the decay, a server that was slow for a while, or measured while cold, would get no request as long as the others
+/// have capacity, so that its recovery would go unnoticed. A server that is twice as slow as the others gets a request from each
+/// host every six seconds.
 const MEASURED_DECAY_TIME: Duration = Duration::from_secs(3);
 
-/// Part of a server's requests that failed, above which it is used only when the others are no better.
+/// Share of failed requests above which a server is used only if the others are no better.
 const FAILING_RATIO: f64 = 0.25;
 
 /// Observations of one server, by one host.
 #[derive(Debug, Clone)]
 pub struct ServerStats {
-    /// When each request began that this host has at the server now, ascending.
+    /// Start times of this host's requests in flight at the server, ascending.
     started: Vec<Instant>,
-    /// When the last request began, or the server was first heard of.
+    /// When the last request started, or the server became known.
     last_request: Option<Instant>,
     has_answered: bool,
     mean: Duration,
-    /// Faded share of requests that ended without a good answer.
+    /// Moving average of the share of requests that failed.
     failure_ratio: f64,
     consecutive_failures: u32,
     full_until: Option<Instant>,
@@ -63,30 +67,30 @@
 }
 
 impl ServerStats {
-    /// Nothing is known of a server that is heard of now.
+    /// Statistics of a server that becomes known at `now`.
     pub fn new(now: Instant) -> Self {
         Self { last_request: Some(now), ..Self::default() }
     }
 
-    /// A request is sent to the server.
+    /// Records the start of a request.
     pub fn begin(&mut self, now: Instant) {
         self.last_request = self.last_request.max(Some(now));
         self.started.push(now);
     }
 
-    /// A request that began at `begun` is there no more.
+    /// Records the end of the request that started at `begun`.
     pub fn end(&mut self, begun: Instant) {
         if let Some(at) = self.started.iter().position(|other| *other == begun) {
             self.started.remove(at);
         }
     }
 
-    /// Requests of this host that are at the server now.
+    /// Requests of this host that are in flight at the server.
     pub fn in_flight(&self) -> u32 {
         self.started.len() as u32
     }
 
-    /// A whole answer came after this time.
+    /// Records a successful answer and its latency.
     pub fn on_answer(&mut self, took: Duration) {
         let weight =
             if std::mem::replace(&mut self.has_answered, true) { EWMA_WEIGHT } else { 1.0 };
@@ -96,17 +100,17 @@
         self.backoff_until = None;
     }
 
-    /// The server refused a request for want of room.
+    /// Records that the server refused a request because it was full.
     pub fn on_full(&mut self, now: Instant) {
         self.full_until = Some(now + FULL_BACKOFF);
     }
 
-    /// The server answered with an error of its own.
+    /// Records an error response of the server.
     pub fn on_error(&mut self) {
         self.failure_ratio = self.failure_ratio * (1.0 - EWMA_WEIGHT) + EWMA_WEIGHT;
     }
 
-    /// The server could not be reached, fell silent or broke off.
+    /// Records that the server was unreachable, did not answer in time or broke the connection.
     pub fn on_failure(&mut self, now: Instant) {
         self.on_error();
         let pause = MIN_FAILURE_BACKOFF * 2u32.pow(self.consecutive_failures.min(3));
@@ -114,30 +118,30 @@
         self.backoff_until = Some(now + pause.min(MAX_FAILURE_BACKOFF));
     }
 
-    /// Whether the server was full a moment ago.
+    /// Whether the server was full recently.
     pub fn is_full(&self, now: Instant) -> bool {
         self.full_until.is_some_and(|until| now < until)
     }
 
-    /// Whether the server failed a moment ago.
+    /// Whether the server is in backoff after a failure.
     pub fn is_avoided(&self, now: Instant) -> bool {
         self.backoff_until.is_some_and(|until| now < until)
     }
 
-    /// Whether many of its requests fail though it answers.
+    /// Whether a large share of its requests fails.
     pub fn is_failing(&self) -> bool {
         self.failure_ratio > FAILING_RATIO
     }
 
-    /// Mean time of an answer.
+    /// Moving average of the latency.
     pub fn mean(&self) -> Duration {
         self.mean
     }
 
-    /// Mean time of an answer, the lower the longer nobody looked.
+    /// Mean latency, decayed by the time since this host's last request to the server, so that an idle server is tried again.
     ///
-    /// That is for hosts of the server's own failure domain to find out: an answer from elsewhere is charged by the byte, and hosts that
-    /// tried all servers everywhere cost a sixth more bytes between domains.
+    /// Only if the host `explores` the server, which is left to hosts in the server's own failure domain: traffic between
+    /// domains is charged by the byte, and exploring all servers everywhere cost a sixth more of it.
     fn decayed_mean(&self, now: Instant, explores: bool) -> Duration {
         let last_request = self.last_request.filter(|_| explores && self.started.is_empty());
         let Some(last_request) = last_request else { return self.mean };
@@ -147,10 +151,11 @@
         self.mean.div_f64(1.0 + idle)
     }
 
-    /// Time after which one more request would be answered, as far as this host can tell.
+    /// Expected latency of one more request.
     ///
-    /// A server that has become slow, or silent, gives no answers to learn it from, and goes on looking as fast as before while
-    /// requests gather there until their deadlines. The age of the oldest one tells after the time of an ordinary answer.
+    /// A server that has become slow or silent returns no answers that would raise its mean, so requests would pile up there
+    /// until their deadlines. The age of the oldest request in flight is a lower bound of the latency, and exceeds the mean once
+    /// an ordinary answer is overdue.
     pub fn expected_latency(&self, now: Instant, slots: u32, explores: bool) -> Duration {
         let oldest = self.started.first().map(|begun| now.saturating_duration_since(*begun));
         let mean = self.decayed_mean(now, explores).max(oldest.unwrap_or_default());
--- a/crates/jacinthbeam-dispatch/src/slow_start.rs
+++ b/crates/jacinthbeam-dispatch/src/slow_start.rs
@@ -1,20 +1,20 @@
-//! Slow start: how much work all hosts together send to a server that is cold.
+//! Slow start: limits the rate at which all hosts together send to a cold server.
 //!
-//! A cold server takes a bounded number of requests a second from the whole fleet and crashes above it. Hosts can't ask each other before
-//! each send, so a few of them, drawn by rendezvous hashing over the server and the hosts, may send to it at a spacing of their
-//! own, and the others don't. The shares are sized so that twice as many senders as drawn stay within the bound: hosts whose lists
-//! differ draw different senders.
+//! A cold server handles a bounded number of requests per second from the whole fleet, and crashes above that. Hosts can't
+//! coordinate each send. So a few hosts are selected by rendezvous hashing over the server and the hosts. Each of them sends at
+//! its own spacing, and the others don't send. Hosts with different host lists select different senders, so the shares are sized
+//! for twice the number of selected senders.
 
 use std::time::{Duration, Instant};
 
 use jacinthbeam_types::prelude::*;
 
-/// What the operator allows a cold server to get beyond the rate that it reports.
+/// How far the operator allows a cold server to get more than its configured rate.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bounds {
-    /// Factor on its rate.
+    /// Factor on the rate.
     pub overrun: f64,
-    /// Requests in a second beyond that.
+    /// Additional requests in any second.
     pub slack: f64,
 }
 
@@ -25,35 +25,35 @@
 }
 
 impl Bounds {
-    /// Most requests that a cold server of this rate may get in any second.
+    /// Maximum number of requests that a cold server with this rate may get in any second.
     pub fn max_per_second(&self, rate: Rate) -> f64 {
         rate.per_second() * self.overrun + self.slack
     }
 }
 
-/// Senders of a cold server in this many views of the list of hosts at a time stay within the bound.
+/// Number of different host lists in use at a time for which the senders stay within the limit.
 const CONCURRENT_HOST_LISTS: f64 = 2.0;
 
-/// Sends of one host in any second.
+/// Maximum number of sends of one host in any second.
 const MAX_SENDS_PER_SECOND: f64 = 2.0;
 
-/// Shortest spacing of one host's sends: at most [`SENDS_A_SECOND`] of them lie within any second.
+/// Shortest spacing of one host's sends: at most [`MAX_SENDS_PER_SECOND`] of them lie within any second.
 const SHORTEST_SPACING: Duration = Duration::from_millis(550);
 
-/// Spacing that leaves one send in any second.
+/// Spacing at which at most one send lies within any second.
 const SINGLE_SEND_SPACING: Duration = Duration::from_millis(1050);
 
-/// How a fleet shares the work of one cold server.
+/// How the fleet shares the sends to one cold server.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Share {
-    /// Hosts that send to it.
+    /// Number of hosts that send to it.
     pub senders: usize,
-    /// Pause between two sends of one of them.
+    /// Minimum time between two sends of one of them.
     pub spacing: Duration,
 }
 
 impl Share {
-    /// The share for servers that take `rate` while they are cold.
+    /// The share for servers that get `rate` while they are cold.
     pub fn of(rate: Rate, bounds: &Bounds) -> Self {
         let max_per_second = bounds.max_per_second(rate);
         let (sends, shortest) = match max_per_second >= CONCURRENT_HOST_LISTS * MAX_SENDS_PER_SECOND
@@ -68,7 +68,7 @@
     }
 }
 
-/// Whether `host` is one of the `senders` of a server among `hosts`.
+/// Whether `host` is one of the `senders` that are selected among `hosts` for a server.
 pub fn is_sender<'a>(
     server: &ServerId,
     host: &HostId,
@@ -83,23 +83,23 @@
         is_listed |= other == host;
         heavier += usize::from(weight(other) > own);
     }
-    // A host that is not on its own list knows too little of the others.
+    // A host that is missing from its own list doesn't know enough of the fleet to select senders.
     is_listed && heavier < senders
 }
 
-/// Sends of this host to one cold server.
+/// Paces the sends of this host to one cold server.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Pacer {
     last: Option<Instant>,
 }
 
 impl Pacer {
-    /// Whether a request may be sent now.
+    /// Whether a request may be sent at `now`.
     pub fn may_send(&self, now: Instant, spacing: Duration) -> bool {
         self.last.is_none_or(|last| now.saturating_duration_since(last) >= spacing)
     }
 
-    /// A request is sent.
+    /// Records a send.
     pub fn on_send(&mut self, now: Instant) {
         self.last = Some(now);
     }
--- a/crates/jacinthbeam-dispatch/src/subset.rs
+++ b/crates/jacinthbeam-dispatch/src/subset.rs
@@ -1,22 +1,24 @@
-//! Which servers a host asks first, among more than it can get to know.
+//! Deterministic subsetting: each host prefers a small subset of the servers of a service.
 //!
-//! A host of a large fleet sees a small part of what each server does. One that asks a few of them sees each often enough to tell fast
-//! from slow ones. The hosts of a failure domain share its servers evenly: each takes a run of the servers, in the order of
-//! their names, that begins at its own place among the hosts.
+//! A host of a large fleet sends only a small share of each server's requests. By preferring a few servers it observes each of
+//! them often enough to distinguish fast from slow ones. The hosts of a failure domain share its servers evenly: the subset of a
+//! host is a run of the servers in the order of their names, which begins at the host's own position among the hosts.
 
-/// Servers that a host asks first.
+/// Number of servers in a host's preferred subset.
 pub const SUBSET_SIZE: usize = 8;
 
-/// The place of a host among those that share the servers.
+/// Position of a host among those that share the servers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Position {
-    /// Hosts before it.
+    /// Number of hosts before it.
     pub index: u32,
-    /// All hosts; 0 if they are not known.
+    /// Number of all hosts; 0 if unknown.
     pub hosts: u32,
 }
 
-/// Whether the server at `at` of `count` is one of those that the host asks first.
+/// Whether the server at `index` of `count` is in the preferred subset of the host at `position`.
+///
+/// Every server is if there are no more than [`SUBSET_SIZE`], or if the number of hosts is unknown.
 pub fn is_in_subset(index: usize, count: usize, position: Position) -> bool {
     if count <= SUBSET_SIZE || position.hosts == 0 {
         return true;
--- a/crates/jacinthbeam-dispatch/tests/budget.rs
+++ b/crates/jacinthbeam-dispatch/tests/budget.rs
@@ -1,4 +1,4 @@
-//! Repeats stay within what all hosts together may send.
+//! The retries of all hosts together stay within the retry budget.
 
 use std::time::{Duration, Instant};
 
@@ -7,25 +7,25 @@
 
 const ALL: Options = Options { ratio: 0.2, burst: 64.0, window: Duration::from_secs(10) };
 
-/// Every host is restarted at once while all want to repeat everything. A restarted process has forgotten what it used, so
-/// without a reserve the twelve of them would use the fixed number twice within one window.
+/// Guards against a burst that is used twice: all hosts restart together, each loses the count of what it used, and all retry
+/// every request within the same window.
 #[test]
 fn restarts_of_all_hosts_stay_within_the_budget() {
     let now = Instant::now();
-    let mut repeats = 0;
+    let mut retries = 0;
     for _life in 0..2 {
         for _host in 0..12 {
             let mut budget = RetryBudget::new(ALL, 12, now);
-            repeats += (0..100).filter(|_| budget.take(now)).count();
+            retries += (0..100).filter(|_| budget.take(now)).count();
         }
     }
-    assert!(repeats <= 64, "{repeats} repeats without a request");
+    assert!(retries <= 64, "{retries} retries without a request");
 }
 
-/// A process that has just started doesn't know yet among how many the fixed number is divided. If it took all of it, so would
-/// the others.
+/// Guards against a freshly started host that doesn't know the number of hosts yet and uses the whole burst, as all others
+/// would.
 #[test]
-fn an_unknown_number_of_hosts_gives_no_fixed_part() {
+fn an_unknown_number_of_hosts_gives_no_burst() {
     let begun = Instant::now();
     let mut budget = RetryBudget::new(ALL, 0, begun);
     assert!(!budget.take(begun));
@@ -35,12 +35,13 @@
     assert!(budget.take(now) && budget.take(now) && !budget.take(now));
 }
 
+/// Guards against a window of one host with more retries than its share, for random sequences of requests and retries.
 #[test]
-fn no_window_holds_more_repeats_than_allowed() {
+fn no_window_holds_more_retries_than_allowed() {
     arbtest(|u| {
         let begun = Instant::now();
         let mut budget = RetryBudget::new(ALL, 12, begun);
-        let (mut now, mut requests, mut repeats) = (begun, Vec::new(), Vec::new());
+        let (mut now, mut requests, mut retries) = (begun, Vec::new(), Vec::new());
         while !u.is_empty() {
             now += Duration::from_millis(u.int_in_range(0..=400)?);
             if u.ratio(3, 4)? {
@@ -48,24 +49,24 @@
                 requests.push(now);
             }
             if u.ratio(1, 2)? && budget.take(now) {
-                repeats.push(now);
+                retries.push(now);
             }
             let within = |at: &&Instant, span: u64| now - **at <= Duration::from_secs(span);
-            let sent = repeats.iter().filter(|at| within(at, 10)).count();
-            // Requests are counted in the window or the one before it, whichever has more.
-            let asked = requests.iter().filter(|at| within(at, 12)).count();
-            assert!(sent as f64 <= 0.2 * asked as f64 + 64.0 / 12.0, "{sent} of {asked}");
+            let sent = retries.iter().filter(|at| within(at, 10)).count();
+            // The requests of the window or of the one before it count, whichever are more.
+            let requested = requests.iter().filter(|at| within(at, 12)).count();
+            assert!(sent as f64 <= 0.2 * requested as f64 + 64.0 / 12.0, "{sent} of {requested}");
         }
         Ok(())
     });
 }
 
-/// A deployment in which every request that can be repeated is. Hosts restart and forget, and see their load rise and fall at
-/// different times; no window of all of them together may hold more repeats than allowed.
+/// Guards against a window in which all hosts together exceed the budget, while hosts restart and their loads rise and fall at
+/// different times.
 ///
-/// What a caller would see of a breach: servers that shed get more arrivals than all teams agreed on, and shed more.
+/// Servers that shed load would then get more requests than agreed with the teams, and shed even more.
 #[test]
-fn no_window_of_all_hosts_holds_more_repeats_than_allowed() {
+fn no_window_of_all_hosts_holds_more_retries_than_allowed() {
     arbtest(|u| {
         let mut fleet = Fleet::new(u.arbitrary()?);
         (0..600).for_each(|_| fleet.step());
@@ -75,13 +76,13 @@
     .budget_ms(2000);
 }
 
-/// Hosts that at times repeat all they may, and at times nothing.
+/// Hosts that alternate between phases of retrying as much as the budget allows and phases without retries.
 struct Fleet {
     rng: fastrand::Rng,
     now: Instant,
     fails: bool,
     hosts: Vec<(RetryBudget, u32)>,
-    /// Requests and repeats of all hosts at each moment.
+    /// Requests and retries of all hosts at each step.
     sent: Vec<(Instant, usize, usize)>,
 }
 
@@ -98,7 +99,7 @@
         if self.rng.u32(0..50) == 0 {
             self.fails = !self.fails;
         }
-        let (mut requests, mut repeats) = (0, 0);
+        let (mut requests, mut retries) = (0, 0);
         for n in 0..self.hosts.len() {
             let (budget, rate) = &mut self.hosts[n];
             if restart == Some(n) {
@@ -110,30 +111,31 @@
             (0..*rate).for_each(|_| budget.on_request(self.now));
             requests += *rate as usize;
             let wanted = if self.fails { *rate } else { 0 };
-            repeats += (0..wanted).filter(|_| budget.take(self.now)).count();
+            retries += (0..wanted).filter(|_| budget.take(self.now)).count();
         }
-        self.sent.push((self.now, requests, repeats));
+        self.sent.push((self.now, requests, retries));
     }
 
-    /// Looks at each window that begins with a repeat; any other holds the same repeats as one of these.
+    /// Checks every window that begins with a retry. Any other window holds the same retries as one of these, or fewer.
     fn check(&self) {
-        for (begin, _, _) in self.sent.iter().filter(|(_, _, repeats)| *repeats > 0) {
+        for (begin, _, _) in self.sent.iter().filter(|(_, _, retries)| *retries > 0) {
             let within = |at: Instant| at >= *begin && at <= *begin + ALL.window;
-            let repeats: usize =
+            let retries: usize =
                 self.sent.iter().filter(|(at, ..)| within(*at)).map(|(.., n)| n).sum();
-            let asked = |back: Duration| {
+            let requested = |back: Duration| {
                 let of = self.sent.iter().filter(|(at, ..)| within(*at + back));
                 of.map(|(_, n, _)| n).sum::<usize>()
             };
-            let most = [asked(Duration::ZERO), asked(ALL.window / 2), asked(ALL.window)];
+            let most =
+                [requested(Duration::ZERO), requested(ALL.window / 2), requested(ALL.window)];
             let allowed = ALL.ratio * most.into_iter().max().unwrap_or_default() as f64 + ALL.burst;
-            assert!(repeats as f64 <= allowed, "{repeats} repeats, {allowed} allowed");
+            assert!(retries as f64 <= allowed, "{retries} retries, {allowed} allowed");
         }
     }
 }
 
-/// The load has been steady for long, then servers begin to refuse much. The budget must carry the repeats of a second at once, and
-/// nine tenths of its share for as long as it lasts.
+/// Guards against a budget that is too conservative: when servers begin to refuse much after a long steady load, it must allow
+/// a retry of every request of a second at once, and about nine tenths of the ratio for as long as that lasts.
 #[test]
 fn a_steady_load_can_use_nearly_all_of_the_budget() {
     let begun = Instant::now();
--- a/crates/jacinthbeam-dispatch/tests/choose.rs
+++ b/crates/jacinthbeam-dispatch/tests/choose.rs
@@ -1,4 +1,4 @@
-//! Choice among servers as one host sees them.
+//! Choice among servers from the observations of one host.
 
 use std::time::{Duration, Instant};
 
@@ -9,22 +9,22 @@
 
 const WORK: Duration = Duration::from_millis(290);
 
-fn candidate<'a>(id: &'a u32, seen: &'a ServerStats) -> Candidate<'a, u32> {
-    Candidate { id, stats: seen, slots: 3, near: true, in_subset: true, cold: false }
+fn candidate<'a>(id: &'a u32, stats: &'a ServerStats) -> Candidate<'a, u32> {
+    Candidate { id, stats, slots: 3, near: true, in_subset: true, cold: false }
 }
 
 fn usual() -> ServerStats {
-    let mut seen = ServerStats::default();
-    (0..20).for_each(|_| seen.on_answer(WORK));
-    seen
+    let mut stats = ServerStats::default();
+    (0..20).for_each(|_| stats.on_answer(WORK));
+    stats
 }
 
-/// Orders end at their deadline without having run, one after the other, at the same server.
+/// Guards against requests that pile up until their deadlines at a server that has suddenly become slow.
 ///
-/// The server works twelve times as slowly as a moment ago. It answers nothing, so the mean of its answers stays good, and with
-/// a request or two of each host in its queue it still looks like the best choice.
+/// The server works twelve times as slowly as before. While it returns no answers its mean stays low, and with only a request
+/// or two of each host in its queue it would still look like the best choice.
 #[test]
-fn a_server_that_has_become_slow_is_left_alone_before_it_answers() {
+fn a_server_that_has_become_slow_is_avoided_before_it_answers() {
     let now = Instant::now();
     let (mut slow, mut busy) = (usual(), usual());
     (0..20).for_each(|_| slow.on_answer(WORK / 2));
@@ -34,10 +34,10 @@
     assert_eq!(pick(), Some(&2));
 }
 
-/// A host sends one after the other in the order of what it expects: idle before busy, near before far, warm before cold, and
-/// what was full or failed a moment ago last.
+/// Guards against a wrong preference: idle before busy, the own failure domain before others, warm before cold, and servers
+/// that were recently full or failed last, but still used if there is no other.
 #[test]
-fn the_server_expected_to_answer_first_is_chosen() {
+fn the_server_with_the_lowest_expected_latency_is_chosen() {
     let now = Instant::now();
     let (idle, mut busy, mut full, mut gone) = (usual(), usual(), usual(), usual());
     (0..3).for_each(|_| busy.begin(now));
@@ -55,31 +55,33 @@
     assert_eq!(pick(vec![candidate(&1, &gone)]), 1);
 }
 
-/// A server that failed comes back into use after a pause that grows with each failure in a row, and at once after an answer.
+/// Guards against a failed server that is never tried again: the backoff grows with consecutive failures up to a limit, and an
+/// answer ends it.
 #[test]
 fn a_failed_server_is_tried_again() {
     let now = Instant::now();
-    let mut seen = usual();
+    let mut stats = usual();
     let mut last = Duration::ZERO;
     for _ in 0..5 {
-        seen.on_failure(now);
+        stats.on_failure(now);
         let pause = (0..)
             .map(|n| Duration::from_millis(100 * n))
-            .find(|after| !seen.is_avoided(now + *after));
+            .find(|after| !stats.is_avoided(now + *after));
         assert!(pause.unwrap() >= last);
         last = pause.unwrap();
     }
     assert!(last <= Duration::from_secs(4));
-    seen.on_answer(WORK);
-    assert!(!seen.is_avoided(now));
+    stats.on_answer(WORK);
+    assert!(!stats.is_avoided(now));
 }
 
-/// New servers get nothing for as long as the others have room, although their slots would be needed a moment later.
+/// Guards against new servers that get no requests while the known ones have capacity, so that their slots are missing when
+/// the load rises.
 ///
-/// A light load, and servers of which one host knows that they answer in 100 ms. Two new ones are heard of, of which nothing is known.
-/// Each must get a request within some seconds, and not all at once.
+/// The load is light and the known servers answer in 100 ms. Each of two new servers must get its first request within a few
+/// seconds, but not immediately.
 #[test]
-fn new_servers_are_tried_while_the_others_have_room() {
+fn new_servers_are_tried_while_the_others_have_capacity() {
     let begun = Instant::now();
     let mut rng = fastrand::Rng::with_seed(3);
     let mut servers: Vec<ServerStats> = (0..6).map(|_| ServerStats::new(begun)).collect();
@@ -88,10 +90,10 @@
         let now = begun + Duration::from_millis(ms);
         let known = if ms < 2000 { 4 } else { 6 };
         if ms == 2000 {
-            servers[4..].iter_mut().for_each(|seen| *seen = ServerStats::new(now));
+            servers[4..].iter_mut().for_each(|stats| *stats = ServerStats::new(now));
         }
         let ids: Vec<u32> = (0..known as u32).collect();
-        let candidates = ids.iter().zip(&servers).map(|(id, seen)| candidate(id, seen));
+        let candidates = ids.iter().zip(&servers).map(|(id, stats)| candidate(id, stats));
         let n = *best(candidates, now, || rng.f64()).unwrap() as usize;
         first[n].get_or_insert(ms);
         servers[n].begin(now);
@@ -102,7 +104,7 @@
     assert!(new.iter().all(|ms| (200..2500).contains(ms)), "{new:?}");
 }
 
-/// A server was five times as slow as usual for a while, and is well again. Without a request nobody would ever learn it.
+/// Guards against a server that was slow for a while and gets no request after its recovery, which would stay unnoticed.
 #[test]
 fn a_server_that_was_slow_is_tried_again() {
     let begun = Instant::now();
--- a/crates/jacinthbeam-dispatch/tests/slow_start.rs
+++ b/crates/jacinthbeam-dispatch/tests/slow_start.rs
@@ -1,4 +1,4 @@
-//! What a fleet sends to cold servers, in any second.
+//! The requests that a whole fleet sends to cold servers in any second.
 
 use std::{
     collections::BTreeMap,
@@ -32,8 +32,8 @@
     (0..hosts).map(host).collect()
 }
 
-/// Load pattern: every host sends to every cold server as often as it may, for three seconds. Returns the most that one server got in
-/// any second.
+/// Simulates three seconds in which every host sends to every cold server as often as it may. Returns the maximum number of
+/// requests that one server got in any second.
 fn flood(fleet: &mut [Host], servers: usize, latency_ms: u64, rng: &mut fastrand::Rng) -> usize {
     let share = Share::of(RATE, &Bounds::default());
     let begun = Instant::now();
@@ -67,24 +67,24 @@
     (0..times.len()).map(in_second).max().unwrap_or_default()
 }
 
-fn bound() -> usize {
+fn limit() -> usize {
     Bounds::default().max_per_second(RATE) as usize
 }
 
-/// Guards against a fleet of any size that sends a cold server more than it takes.
+/// Guards against a fleet that sends a cold server more than the limit, whatever its size.
 #[test]
-fn the_whole_fleet_stays_within_the_bound_of_a_hundred_cold_servers() {
+fn the_whole_fleet_stays_within_the_limit_of_a_hundred_cold_servers() {
     let mut rng = fastrand::Rng::with_seed(1);
     for (hosts, servers) in [(1, 100), (4, 100), (11, 100), (79, 100), (295, 10), (3000, 1)] {
         let mut fleet = fleet(hosts, |_| (0..hosts).collect());
         let most = flood(&mut fleet, servers, 100, &mut rng);
-        assert!((1..=bound()).contains(&most), "{hosts} hosts: {most}");
+        assert!((1..=limit()).contains(&most), "{hosts} hosts: {most}");
     }
 }
 
-/// Guards against hosts with old lists and hosts with new ones that draw different senders at the same moment.
+/// Guards against too many senders where hosts with an outdated host list select other senders than the rest.
 #[test]
-fn lists_that_differ_stay_within_the_bound() {
+fn different_host_lists_stay_within_the_limit() {
     arbtest(|u| {
         let mut rng = fastrand::Rng::with_seed(u.arbitrary()?);
         let hosts = *u.choose(&[4, 11, 79])?;
@@ -92,22 +92,22 @@
         let mut fleet =
             fleet(hosts, |n| if n < old { (0..old).collect() } else { (0..hosts).collect() });
         let most = flood(&mut fleet, 20, 50, &mut rng);
-        assert!(most <= bound(), "{old} of {hosts} hosts with an old list: {most}");
+        assert!(most <= limit(), "{old} of {hosts} hosts with an old list: {most}");
         Ok(())
     })
     .budget_ms(1000);
 }
 
-/// Guards against a host that starts with an empty list and takes itself for the only sender.
+/// Guards against a host that starts with an empty host list and considers itself the only sender.
 #[test]
-fn a_host_that_knows_nobody_sends_nothing() {
+fn a_host_with_an_empty_host_list_sends_nothing() {
     let mut fleet = fleet(30, |_| Vec::new());
     assert_eq!(flood(&mut fleet, 5, 0, &mut fastrand::Rng::with_seed(1)), 0);
 }
 
-/// Guards against bounds at which the drawn hosts alone exceed what a server reports, and against none at all.
+/// Guards against limits at which the selected senders alone exceed the rate, and against no sender at all.
 #[test]
-fn shares_follow_the_rate_and_the_bounds() {
+fn shares_follow_the_rate_and_the_limits() {
     let share = |rate, slack| Share::of(Rate(rate), &Bounds { overrun: 1.5, slack });
     assert_eq!(share(4400, 8.0), Share { senders: 3, spacing: Duration::from_millis(550) });
     let small = share(500, 0.0);
