--- a/crates/jacinthbeam-route/src/config.rs
+++ b/crates/jacinthbeam-route/src/config.rs
@@ -7,53 +7,53 @@
 
 use crate::{Routes, Target};
 
-/// Everything that one version says.
+/// The content of one version.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Config {
-    /// Versions only ever rise on a host.
+    /// Version number. On a host it never decreases.
     pub version: ConfigVersion,
     /// Which requests go where.
     pub routes: Routes,
     /// The services that routes lead to, by name.
     pub services: BTreeMap<ServiceName, Service>,
-    /// Bounds of what a caller may send.
+    /// Limits on what a caller may send.
     pub limits: Limits,
 }
 
 /// A service: a set of backend servers that do the same work.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Service {
-    /// The team that its use is counted against; `None` where the configuration names none.
+    /// The team that is charged for its use; `None` if the configuration names none.
     pub team: Option<TeamName>,
-    /// Path at which a backend server answers whether it is well.
+    /// Path of the health check of its backend servers.
     pub health_path: String,
-    /// Connections that one backend server accepts from all hosts together.
+    /// Maximum number of connections that one backend server accepts from all hosts together.
     pub connections: u32,
     /// Whether each key of the service is served by its owner only.
     pub keyed: bool,
-    /// How long keys are slow that a backend server got without their handover.
+    /// How long requests for keys are slow on a backend server that was granted the keys without a handover.
     pub warmup: Duration,
-    /// What its servers take while they are cold; `None` if nothing bounds it.
+    /// Rate limit of its cold servers; `None` if there is none.
     pub slow_start: Option<SlowStart>,
 }
 
-/// What a cold server of a service takes.
+/// Rate limit of the cold servers of a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SlowStart {
     /// How long a server stays cold after its start or after it was evacuated.
     pub lasts: Duration,
-    /// Requests a second from all hosts together.
+    /// Requests per second from all hosts together.
     pub rate: Rate,
 }
 
-/// Bounds of what a caller may send, and how slowly.
+/// Limits on the size of a caller's request, and on the time to send it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
-    /// Bytes of a request's head.
+    /// Maximum size of a request's head in bytes.
     pub head: usize,
-    /// Bytes of a request's body.
+    /// Maximum size of a request's body in bytes.
     pub body: usize,
-    /// Time for the whole head, from its first byte.
+    /// Time limit for the whole head, from its first byte.
     pub head_timeout: Duration,
     /// Time that a connection may stay open without a request.
     pub idle_timeout: Duration,
@@ -70,7 +70,7 @@
     }
 }
 
-/// Why a configuration can't be followed.
+/// Why a configuration is invalid.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Error {
     /// A route leads to a service that the configuration doesn't have.
@@ -80,7 +80,7 @@
         /// The service that is missing.
         service: ServiceName,
     },
-    /// A route has no target, or none of its parts has a weight.
+    /// A route has no target, or none of its parts has a positive weight.
     NoTarget {
         /// Name of the route.
         route: String,
@@ -113,7 +113,7 @@
 impl std::error::Error for Error {}
 
 impl Config {
-    /// Checks what the parts say of each other.
+    /// Checks the consistency of routes and services.
     pub fn check(&self) -> Result<(), Error> {
         for route in self.routes.iter() {
             let name = || route.name.clone();
--- a/crates/jacinthbeam-route/src/lib.rs
+++ b/crates/jacinthbeam-route/src/lib.rs
@@ -1,8 +1,8 @@
-//! What a configuration says of requests, and which backend servers there are.
+//! The routing configuration and the list of backend servers.
 //!
-//! A [`Config`] is one accepted version: routes by host and path, the services that they lead to, and bounds of what callers
-//! may send. [`Servers`] is the list of backend servers as last reported. Both are plain values without I/O; where they come
-//! from is up to whoever builds them.
+//! A [`Config`] is one accepted version: routes by host and path, the services that they lead to, and limits on what callers
+//! may send. [`Servers`] is the list of backend servers as last reported. Both are plain values without I/O, independent of
+//! where they are read from.
 
 pub mod config;
 pub mod route;
--- a/crates/jacinthbeam-route/src/route.rs
+++ b/crates/jacinthbeam-route/src/route.rs
@@ -1,4 +1,4 @@
-//! Routes: from a request's host and path to a service.
+//! Routes: map a request's host and path to a service.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -10,32 +10,33 @@
 use jacinthbeam_types::prelude::*;
 use serde::{Deserialize, Serialize};
 
-/// Where requests with one host and path prefix go, and what may be done with them.
+/// The service and the handling of the requests with one host and path prefix.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Route {
     /// Name for logs; unique within a configuration.
     pub name: String,
-    /// Begins and ends with a slash.
+    /// Path prefix; begins and ends with a slash.
     pub prefix: String,
-    /// Whether a request may run more than once.
+    /// Whether a request may run more than once, unless the caller specifies it.
     pub idempotent: bool,
-    /// Longest time that a caller is kept waiting.
+    /// Maximum time until a caller gets a response.
     pub timeout: Duration,
-    /// Time within which an answer is worth most to the caller.
+    /// Latency objective: time within which an answer has its full value for the caller.
     pub objective: Duration,
-    /// Rank among the requests of a service; 0 is the most urgent.
+    /// Priority among the requests of a service; 0 is the most urgent.
     pub priority: u32,
-    /// Most backend servers that one request may be sent to.
+    /// Maximum number of sends of an idempotent request whose earlier sends failed or may have run.
     pub attempts: u32,
-    /// Where its requests go.
+    /// The service or services that its requests go to.
     pub target: Target,
-    /// The only regions whose backend servers may get its requests; empty if all may.
+    /// Regions whose backend servers may get its requests; empty if all may.
     #[serde(default)]
     pub home_regions: BTreeSet<Region>,
 }
 
 impl Route {
-    /// Whether its requests may be sent to `region`. A server of an unknown region gets none that are bound to their homes.
+    /// Whether its requests may be sent to `region`; `None` is an unknown region, which only a route without home regions
+    /// allows.
     pub fn allows_region(&self, region: Option<&Region>) -> bool {
         let is_listed = || region.is_some_and(|region| self.home_regions.contains(region));
         self.home_regions.is_empty() || is_listed()
@@ -54,7 +55,7 @@
 /// One service's share of a split route.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Part {
-    /// Who gets the share.
+    /// The service that gets the share.
     pub service: ServiceName,
     /// The share is this weight over the sum of all weights of the route.
     pub weight: f64,
@@ -71,13 +72,13 @@
     }
 }
 
-/// Stands for every host that has no route of its own for a path.
+/// Wildcard host: its routes apply where the request's host has no matching route.
 pub const ANY_HOST: &str = "*";
 
 /// All routes of a configuration.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Routes {
-    /// By host in lower case; the longest prefix first.
+    /// Routes by host in lower case, ordered by descending length of the prefix.
     by_host: BTreeMap<String, Vec<Arc<Route>>>,
 }
 
@@ -89,7 +90,7 @@
         routes.insert(at, Arc::new(route));
     }
 
-    /// The route with the longest prefix that begins `path`. `host` may carry a port.
+    /// Finds the route with the longest prefix of `path`, of `host` or else of [`ANY_HOST`]. `host` may contain a port.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
         self.of_host(&name.to_ascii_lowercase(), path).or_else(|| self.of_host(ANY_HOST, path))
@@ -106,36 +107,36 @@
     }
 }
 
-/// Deals the requests of one split route to its parts, so that after any number of them each part is less than one request
-/// away from its share.
+/// Smooth weighted round-robin over the parts of one split route: after any number of requests, each part is within about one
+/// request of its share.
 ///
-/// Drawing at random instead would miss a share of 10 % by more than 3 % in one of twenty windows of 300 requests.
+/// With random selection, a share of 10 % would be missed by more than 3 % in one of twenty windows of 300 requests.
 #[derive(Debug, Clone, Default)]
 pub struct WeightedRoundRobin {
     parts: Vec<Part>,
-    due: Vec<f64>,
+    credit: Vec<f64>,
 }
 
 impl WeightedRoundRobin {
-    /// The service of the next request. `None` if no part has a weight.
+    /// Returns the service of the next request; `None` if no part has a positive weight. Starts over if `parts` have changed.
     pub fn next(&mut self, parts: &[Part]) -> Option<ServiceName> {
         if self.parts != parts {
             self.parts = parts.to_vec();
-            self.due = vec![0.0; parts.len()];
+            self.credit = vec![0.0; parts.len()];
         }
         let sum: f64 = parts.iter().map(|part| part.weight).sum();
         if sum <= 0.0 {
             return None;
         }
-        for (due, part) in self.due.iter_mut().zip(parts) {
-            *due += part.weight / sum;
+        for (credit, part) in self.credit.iter_mut().zip(parts) {
+            *credit += part.weight / sum;
         }
-        let most = most_due(self.due.iter())?;
-        self.due[most] -= 1.0;
-        Some(parts[most].service.clone())
+        let next = max_credit(self.credit.iter())?;
+        self.credit[next] -= 1.0;
+        Some(parts[next].service.clone())
     }
 }
 
-fn most_due(due: slice::Iter<'_, f64>) -> Option<usize> {
-    due.enumerate().max_by(|a, b| a.1.total_cmp(b.1)).map(|(at, _)| at)
+fn max_credit(credit: slice::Iter<'_, f64>) -> Option<usize> {
+    credit.enumerate().max_by(|a, b| a.1.total_cmp(b.1)).map(|(at, _)| at)
 }
--- a/crates/jacinthbeam-route/src/server.rs
+++ b/crates/jacinthbeam-route/src/server.rs
@@ -5,43 +5,43 @@
 use jacinthbeam_types::prelude::*;
 use serde::{Deserialize, Serialize};
 
-/// One life of a backend server.
+/// One incarnation of a backend server.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Server {
-    /// Its name, and when it started if it says so.
+    /// Its name, and its start time if it reports one.
     pub id: ServerId,
-    /// What it does.
+    /// The service that it belongs to.
     pub service: ServiceName,
-    /// Where it takes requests.
+    /// Address at which it accepts requests.
     pub addr: SocketAddr,
-    /// Where it runs.
+    /// Failure domain that it runs in.
     pub domain: FailureDomain,
-    /// Requests that it works on at a time.
+    /// Number of requests that it processes concurrently.
     pub slots: u32,
-    /// Whether it is leaving: no new work may reach it some seconds after it said so.
+    /// Whether it is draining: some seconds after it has reported this, no new request may reach it.
     pub draining: bool,
-    /// How much longer it was to be slow after its start when it reported this.
+    /// Remaining warm-up time after its start, at the time of its report.
     pub warmup_left: Duration,
-    /// Requests a second that it takes from all hosts together while it is cold; `None` if nothing bounds them. Not part of what it
-    /// reports: its service's configuration says it.
+    /// Rate limit from all hosts together while it is cold; `None` if there is none. Not reported by the server, but set from
+    /// the configuration of its service.
     pub cold_rate: Option<Rate>,
 }
 
 impl Server {
-    /// Whether it is cold: it has just started, and is slow for a while.
+    /// Whether it is cold: recently started and still slow.
     pub fn is_cold(&self) -> bool {
         !self.warmup_left.is_zero()
     }
 }
 
-/// All backend servers that are known to be there.
+/// All known backend servers.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Servers {
     by_id: BTreeMap<ServerId, Server>,
 }
 
 impl Servers {
-    /// Adds a server or replaces what was known of it. Returns whether anything changed.
+    /// Adds or replaces a server. Returns whether anything changed.
     pub fn insert(&mut self, server: Server) -> bool {
         if self.by_id.get(&server.id) == Some(&server) {
             return false;
@@ -50,12 +50,12 @@
         true
     }
 
-    /// Takes a server off the list. Returns whether it was there.
+    /// Removes a server. Returns whether it was in the list.
     pub fn remove(&mut self, id: &ServerId) -> bool {
         self.by_id.remove(id).is_some()
     }
 
-    /// The life that is listed under the name of `id`, if it is another one. All that `id` held is lost.
+    /// The latest incarnation in the list with the name of `id`, if it differs from `id`. Everything that `id` held is lost then.
     pub fn successor_of(&self, id: &ServerId) -> Option<&Server> {
         let first = ServerId::from(id.name().clone());
         let lives = self.by_id.range(first..).take_while(|(other, _)| other.name() == id.name());
@@ -73,12 +73,12 @@
         self.by_id.values()
     }
 
-    /// The servers of a service that take new work.
+    /// The servers of a service that accept new requests.
     pub fn of<'a>(&'a self, service: &'a ServiceName) -> impl Iterator<Item = &'a Server> {
         self.iter().filter(move |server| server.service == *service && !server.draining)
     }
 
-    /// Whether `id` is on the list and takes new work.
+    /// Whether `id` is in the list and accepts new requests.
     pub fn takes_work(&self, id: &ServerId) -> bool {
         self.get(id).is_some_and(|server| !server.draining)
     }
--- a/crates/jacinthbeam-route/tests/route.rs
+++ b/crates/jacinthbeam-route/tests/route.rs
@@ -1,4 +1,4 @@
-//! Routes by host and prefix, and shares of split routes.
+//! Route lookup by host and prefix, shares of split routes, and checks of the configuration.
 
 use std::time::Duration;
 
@@ -43,6 +43,7 @@
     Config { version: ConfigVersion(1), routes, services: Default::default(), limits }
 }
 
+/// Guards against a request that is routed by a shorter prefix, by another host, or by a prefix that ends within a segment.
 #[test]
 fn the_longest_prefix_that_begins_the_path_wins() {
     let mut routes = Routes::default();
@@ -58,30 +59,33 @@
     assert_eq!(found("c.example", "/x/y/"), None);
 }
 
+/// Guards against shares that are only met on average.
 #[test]
-fn every_prefix_of_a_split_is_within_one_request_of_its_shares() {
+fn a_split_stays_close_to_its_shares_after_every_request() {
     let parts = [("a", 90.0), ("b", 7.0), ("c", 3.0)]
         .map(|(name, weight)| Part { service: service(name), weight });
-    let mut dealer = WeightedRoundRobin::default();
-    let mut dealt = [0.0; 3];
+    let mut balancer = WeightedRoundRobin::default();
+    let mut counts = [0.0; 3];
     for n in 1..=1000 {
-        let next = dealer.next(&parts).unwrap();
+        let next = balancer.next(&parts).unwrap();
         let at = parts.iter().position(|part| part.service == next).unwrap();
-        dealt[at] += 1.0;
-        for (dealt, part) in dealt.iter().zip(&parts) {
-            assert!((dealt - part.weight / 100.0 * f64::from(n)).abs() < 1.5, "after {n}");
+        counts[at] += 1.0;
+        for (counts, part) in counts.iter().zip(&parts) {
+            assert!((counts - part.weight / 100.0 * f64::from(n)).abs() < 1.5, "after {n}");
         }
     }
 }
 
+/// Guards against a division by a zero sum of weights.
 #[test]
-fn a_split_without_weight_deals_nothing() {
+fn a_split_without_weight_returns_no_service() {
     let parts = [Part { service: service("a"), weight: 0.0 }];
     assert_eq!(WeightedRoundRobin::default().next(&parts), None);
 }
 
+/// Guards against an invalid configuration that is accepted, or rejected without the name of the route at fault.
 #[test]
-fn a_configuration_that_contradicts_itself_is_refused_with_the_route_named() {
+fn an_inconsistent_configuration_is_rejected_with_the_name_of_the_route() {
     let unknown = config(to("nobody"), "/x/").check().unwrap_err();
     assert_eq!(unknown, Error::UnknownService { route: "r".into(), service: service("nobody") });
     assert!(unknown.to_string().contains("nobody"));
@@ -92,7 +96,7 @@
     assert_eq!(prefix, Error::Prefix { route: "r".into(), prefix: "/x".into() });
 }
 
-/// Guards against requests that are sent where nobody knows the region.
+/// Guards against requests of a route with home regions that are sent to another or an unknown region.
 #[test]
 fn a_route_with_home_regions_allows_no_others() {
     let home: Region = "west".parse().unwrap();
