--- a/crates/jacinthbeam-host/src/connection/accept.rs
+++ b/crates/jacinthbeam-host/src/connection/accept.rs
@@ -1,4 +1,4 @@
-//! Connections of callers.
+//! Accepts and serves the connections of callers.
 
 use std::{cell::Cell, convert::Infallible, future::Future, net::IpAddr, rc::Rc, time::Duration};
 
@@ -14,44 +14,44 @@
     task::spawn_local,
 };
 
-use super::idle::{Activity, Noted};
+use super::idle::{Activity, ActivityStream};
 
-/// Pause after an error of accept, which is mostly a want of descriptors that only time can end.
-const AFTER_ERROR: Duration = Duration::from_millis(50);
+/// Delay after a failed `accept`. The usual cause is a lack of file descriptors, which only passes with time.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Smallest buffer that hyper takes.
-const LEAST_HEAD: usize = 8192;
+/// Smallest buffer size that hyper accepts.
+const MIN_BUFFER_BYTES: usize = 8192;
 
-/// Before the first configuration, connections are bounded by these.
-const LIMITS_UNKNOWN: Limits = Limits {
+/// Limits that apply before the first configuration was read.
+const INITIAL_LIMITS: Limits = Limits {
     head: 16 << 10,
     body: 1 << 20,
     head_timeout: Duration::from_secs(5),
     idle_timeout: Duration::from_secs(15),
 };
 
-/// Whether this process is about to stop, and which connections it may close.
+/// Shutdown phase of the process, which determines the connections that it may close.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// Serves callers.
+    /// Normal operation.
     Serving,
-    /// Each answer is the last on its connection.
+    /// Every response closes its connection.
     Leaving,
-    /// Connections without a request are closed too.
+    /// Idle connections are closed too.
     Closing,
 }
 
-/// What every connection needs.
+/// State shared by all connections.
 #[derive(Debug, Clone)]
 pub struct Context {
-    /// How far a stop has come.
+    /// The current shutdown phase.
     pub phase: watch::Receiver<Phase>,
-    /// Open connections.
+    /// Number of open connections.
     pub open: Rc<Cell<usize>>,
 }
 
-/// Serves every connection with `serve`, which gets each request. Ends, and closes the listener, in phase [`Phase::Closing`]:
-/// a request that came later might not be answered before the process is ended.
+/// Accepts connections and calls `serve` for each request. Returns and closes the listener in phase [`Phase::Closing`], since a
+/// later request might not be answered before the process exits.
 pub async fn run<S, F>(
     listener: TcpListener,
     cx: Context,
@@ -69,66 +69,71 @@
         };
         match accepted {
             Ok((stream, from)) => {
-                let limits = limits().unwrap_or(LIMITS_UNKNOWN);
+                let limits = limits().unwrap_or(INITIAL_LIMITS);
                 let from = CallerAddr(from.ip());
-                spawn_local(one(stream, from, cx.clone(), limits, serve.clone()));
+                spawn_local(serve_connection(stream, from, cx.clone(), limits, serve.clone()));
             }
             Err(err) => {
                 tracing::warn!(part = "connection", event = "accept-failed", error = ?err);
-                tokio::time::sleep(AFTER_ERROR).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Where a request comes from: an extension of each request that is served.
+/// Address of the caller, set as an extension of each request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerAddr(pub IpAddr);
 
-/// Counts a connection for as long as it lives.
-struct Counted(Rc<Cell<usize>>);
+/// Counts a connection as open until dropped.
+struct OpenGuard(Rc<Cell<usize>>);
 
-impl Counted {
+impl OpenGuard {
     fn new(open: Rc<Cell<usize>>) -> Self {
         open.set(open.get() + 1);
         Self(open)
     }
 }
 
-impl Drop for Counted {
+impl Drop for OpenGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
-async fn one<S, F>(stream: TcpStream, from: CallerAddr, cx: Context, limits: Limits, serve: S)
-where
+async fn serve_connection<S, F>(
+    stream: TcpStream,
+    from: CallerAddr,
+    cx: Context,
+    limits: Limits,
+    serve: S,
+) where
     S: Fn(Request<Incoming>) -> F + Clone + 'static,
     F: Future<Output = Response<Full<Bytes>>> + 'static,
 {
-    let _counted = Counted::new(cx.open.clone());
+    let _open = OpenGuard::new(cx.open.clone());
     if let Err(err) = stream.set_nodelay(true) {
         tracing::debug!(part = "connection", event = "nodelay-failed", error = ?err);
     }
     let activity = Activity::new();
-    let io = TokioIo::new(Noted::new(stream, activity.clone()));
-    let (noted, phase) = (activity.clone(), cx.phase.clone());
+    let io = TokioIo::new(ActivityStream::new(stream, activity.clone()));
+    let (request_activity, phase) = (activity.clone(), cx.phase.clone());
     let service = service_fn(move |mut req: Request<Incoming>| {
         req.extensions_mut().insert(from);
-        let (noted, phase, serve) = (noted.clone(), phase.clone(), serve.clone());
+        let (activity, phase, serve) = (request_activity.clone(), phase.clone(), serve.clone());
         async move {
-            noted.request_begins();
+            activity.on_request_start();
             let mut res = serve(req).await;
             if *phase.borrow() > Phase::Serving {
                 res.headers_mut()
                     .insert(header::CONNECTION, http::HeaderValue::from_static("close"));
             }
-            noted.request_ends();
+            activity.on_request_end();
             Ok::<_, Infallible>(res)
         }
     });
     let mut builder = http1::Builder::new();
-    builder.max_buf_size(limits.head.max(LEAST_HEAD)).half_close(false);
+    builder.max_buf_size(limits.head.max(MIN_BUFFER_BYTES)).half_close(false);
     let mut conn = std::pin::pin!(builder.serve_connection(io, service));
     let mut phase = cx.phase;
     let mut closing = false;
@@ -140,10 +145,10 @@
                 }
                 return;
             }
-            () = activity.overdue(limits.head_timeout, limits.idle_timeout), if !closing => {
+            () = activity.timed_out(limits.head_timeout, limits.idle_timeout), if !closing => {
                 closing = true;
                 if !activity.is_idle() {
-                    // Half a head: there is no request to answer, and the rest may never come.
+                    // The head is incomplete: there is no request to answer, and the rest may never arrive.
                     return;
                 }
                 conn.as_mut().graceful_shutdown();
--- a/crates/jacinthbeam-host/src/connection/idle.rs
+++ b/crates/jacinthbeam-host/src/connection/idle.rs
@@ -1,7 +1,7 @@
-//! Bounds of a caller's connection in time: how long a head may take, how long nothing may come.
+//! Timeouts of a caller's connection: one for reading a request's head, one for idleness between requests.
 //!
-//! hyper has one bound for both, counted from the end of the last answer. It would close connections that callers keep for
-//! their next request after the time that a head may take.
+//! hyper has a single timeout for both, counted from the end of the last response. With the limit for a head, it would close
+//! connections that callers keep open for their next request.
 
 use std::{
     cell::Cell,
@@ -18,76 +18,76 @@
     time::Instant,
 };
 
-/// What a connection is doing, as seen from its bytes and its requests.
+/// State of a connection, derived from its bytes and its requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Doing {
-    /// Waits for the first byte of a request.
+enum State {
+    /// Waiting for the first byte of a request.
     Idle,
-    /// A head is coming in.
+    /// Reading the head of a request.
     Head,
-    /// A request is being served.
+    /// Serving a request.
     Request,
 }
 
-/// Shared by the stream, the requests on it and the watch over both.
+/// State of a connection and when it began; shared by the stream, its requests and the timeout.
 #[derive(Debug, Clone)]
-pub(super) struct Activity(Rc<Cell<(Doing, Instant)>>);
+pub(super) struct Activity(Rc<Cell<(State, Instant)>>);
 
 impl Activity {
     pub(super) fn new() -> Self {
-        Self(Rc::new(Cell::new((Doing::Idle, Instant::now()))))
+        Self(Rc::new(Cell::new((State::Idle, Instant::now()))))
     }
 
-    pub(super) fn request_begins(&self) {
-        self.0.set((Doing::Request, Instant::now()));
+    pub(super) fn on_request_start(&self) {
+        self.0.set((State::Request, Instant::now()));
     }
 
-    pub(super) fn request_ends(&self) {
-        self.0.set((Doing::Idle, Instant::now()));
+    pub(super) fn on_request_end(&self) {
+        self.0.set((State::Idle, Instant::now()));
     }
 
     pub(super) fn is_idle(&self) -> bool {
-        self.0.get().0 == Doing::Idle
+        self.0.get().0 == State::Idle
     }
 
-    fn bytes_arrive(&self) {
+    fn on_bytes(&self) {
         if self.is_idle() {
-            self.0.set((Doing::Head, Instant::now()));
+            self.0.set((State::Head, Instant::now()));
         }
     }
 
-    /// Ends when the connection has been idle, or at one head, for too long.
-    pub(super) async fn overdue(&self, head: Duration, idle: Duration) {
+    /// Completes when the connection has exceeded the timeout for idleness or for one head.
+    pub(super) async fn timed_out(&self, head: Duration, idle: Duration) {
         loop {
-            let (doing, since) = self.0.get();
-            let (limit, again) = match doing {
-                Doing::Idle => (idle, since + idle),
-                Doing::Head => (head, since + head),
-                Doing::Request => (Duration::MAX, Instant::now() + head.min(idle)),
+            let (state, since) = self.0.get();
+            let (limit, wake_at) = match state {
+                State::Idle => (idle, since + idle),
+                State::Head => (head, since + head),
+                State::Request => (Duration::MAX, Instant::now() + head.min(idle)),
             };
             if since.elapsed() >= limit {
                 return;
             }
-            // A head that begins while the idle time is waited for has a time of its own.
-            tokio::time::sleep_until(again.min(Instant::now() + head)).await;
+            // Wakes up after `head` at the latest: a head that begins during the idle timeout has its own.
+            tokio::time::sleep_until(wake_at.min(Instant::now() + head)).await;
         }
     }
 }
 
-/// A caller's socket that notes when bytes arrive.
+/// A caller's socket that records the arrival of bytes.
 #[derive(Debug)]
-pub(super) struct Noted {
+pub(super) struct ActivityStream {
     stream: TcpStream,
     activity: Activity,
 }
 
-impl Noted {
+impl ActivityStream {
     pub(super) fn new(stream: TcpStream, activity: Activity) -> Self {
         Self { stream, activity }
     }
 }
 
-impl AsyncRead for Noted {
+impl AsyncRead for ActivityStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -96,13 +96,13 @@
         let before = buf.filled().len();
         let read = Pin::new(&mut self.stream).poll_read(cx, buf);
         if buf.filled().len() > before {
-            self.activity.bytes_arrive();
+            self.activity.on_bytes();
         }
         read
     }
 }
 
-impl AsyncWrite for Noted {
+impl AsyncWrite for ActivityStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/crates/jacinthbeam-host/src/connection/mod.rs
+++ b/crates/jacinthbeam-host/src/connection/mod.rs
@@ -1,4 +1,4 @@
-//! What lives as long as a connection: of a caller, or to a backend server.
+//! Connections of callers and to backend servers.
 
 pub mod accept;
 mod idle;
--- a/crates/jacinthbeam-host/src/connection/pool.rs
+++ b/crates/jacinthbeam-host/src/connection/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to one backend server.
+//! Connection pool of one backend server.
 
 use std::{
     cell::{Cell, RefCell},
@@ -12,27 +12,31 @@
 use http_body_util::{Full, combinators::MapErr};
 use jacinthbeam_connection::{BoxError, Connection};
 
-/// Body of a request: it is whole before it is sent, so it can be sent again.
+/// Body of a request. It is buffered completely, so that it can be sent again.
 pub type Body = MapErr<Full<bytes::Bytes>, fn(std::convert::Infallible) -> BoxError>;
 
-/// The body of these bytes.
+/// Creates a body from bytes.
 pub fn body(bytes: bytes::Bytes) -> Body {
     let to_boxed: fn(std::convert::Infallible) -> BoxError = |never| match never {};
     http_body_util::BodyExt::map_err(Full::new(bytes), to_boxed)
 }
 
-/// Longest attempt to connect. A new connection takes some milliseconds; one that doesn't come within a quarter of a second
-/// is on a path that is cut, or at a server whose queue of connections is full.
-const CONNECT_WITHIN: Duration = Duration::from_millis(300);
+/// Timeout of a connection attempt.
+///
+/// A new connection takes a few milliseconds. One that is not established within a quarter of a second is on a broken network
+/// path, or at a server whose accept queue is full.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Age at which an idle connection is no longer used, if the server says nothing of its own bound. A request that meets the
-/// server's closing may have run as far as this host can tell, and an order is then lost.
+/// Longest idle time of a connection, also if the server announces a longer one or none.
+///
+/// A request that is sent while the server closes the connection may have run as far as this host can tell, so an order would
+/// be lost.
 const MAX_IDLE: Duration = Duration::from_secs(4);
 
-/// Kept below the server's own bound by this much, for the time that its closing is on the way.
-const BEFORE_CLOSE: Duration = Duration::from_millis(1000);
+/// Margin below the server's announced idle timeout, for the time that its close takes to arrive.
+const CLOSE_MARGIN: Duration = Duration::from_millis(1000);
 
-/// The connections of this host to one server.
+/// Connections of this host to one server.
 #[derive(Debug)]
 pub struct Pool {
     addr: SocketAddr,
@@ -46,33 +50,33 @@
     until: Instant,
 }
 
-/// A connection in use. Dropping it closes it.
+/// A connection in use. Dropping it closes the connection.
 #[derive(Debug)]
 pub struct PooledConnection {
     /// The connection.
     pub inner: Connection<Body>,
-    /// Whether it has carried a request before.
+    /// Whether it has been used for a request before.
     pub reused: bool,
-    _counted: Counted,
+    _open: OpenGuard,
 }
 
 #[derive(Debug)]
-struct Counted(Rc<Cell<u32>>);
+struct OpenGuard(Rc<Cell<u32>>);
 
-impl Drop for Counted {
+impl Drop for OpenGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
-/// Why there is no connection.
+/// Why no connection is available.
 #[derive(Debug)]
 pub enum Error {
-    /// This host has as many connections as it may.
+    /// This host has reached its maximum number of connections to the server.
     Full,
-    /// The server refused it or can't be reached.
+    /// The server refused the connection or can't be reached.
     Connect(io::Error),
-    /// The attempt took too long.
+    /// The attempt timed out.
     Silent,
 }
 
@@ -84,41 +88,40 @@
 }
 
 impl Pool {
-    /// A pool without connections.
+    /// Creates an empty pool.
     pub fn new(addr: SocketAddr) -> Self {
         Self { addr, idle: RefCell::default(), open: Rc::default() }
     }
 
-    /// Connections that are open, idle ones included.
+    /// Number of open connections, including idle ones.
     pub fn open_count(&self) -> u32 {
         self.open.get()
     }
 
-    /// A connection that is ready for a request: the one used last, or a new one if there are fewer than `most`.
-    pub async fn acquire(&self, now: Instant, most: u32) -> Result<PooledConnection, Error> {
+    /// Returns the idle connection that was used last, or a new one if fewer than `max` are open.
+    pub async fn acquire(&self, now: Instant, max: u32) -> Result<PooledConnection, Error> {
         while let Some(idle) = self.pop() {
             if now < idle.until && idle.conn.inner.is_quiet() {
                 return Ok(idle.conn);
             }
         }
-        self.connect(most).await
+        self.connect(max).await
     }
 
-    /// A new connection.
-    pub async fn connect(&self, most: u32) -> Result<PooledConnection, Error> {
-        if self.open.get() >= most {
-            // An idle one makes room.
+    /// Opens a new connection if fewer than `max` are open. An idle one is closed to make room.
+    pub async fn connect(&self, max: u32) -> Result<PooledConnection, Error> {
+        if self.open.get() >= max {
             drop(self.pop());
-            if self.open.get() >= most {
+            if self.open.get() >= max {
                 return Err(Error::Full);
             }
         }
         self.open.set(self.open.get() + 1);
-        let counted = Counted(self.open.clone());
-        let opened = jacinthbeam_connection::open(Default::default(), self.addr, ());
-        match tokio::time::timeout(CONNECT_WITHIN, opened).await {
+        let open = OpenGuard(self.open.clone());
+        let connecting = jacinthbeam_connection::open(Default::default(), self.addr, ());
+        match tokio::time::timeout(CONNECT_TIMEOUT, connecting).await {
             Ok(Ok(connection)) => {
-                Ok(PooledConnection { inner: connection, reused: false, _counted: counted })
+                Ok(PooledConnection { inner: connection, reused: false, _open: open })
             }
             Ok(Err(err)) => Err(Error::Connect(err)),
             Err(_) => Err(Error::Silent),
@@ -129,20 +132,20 @@
         self.idle.borrow_mut().pop_back()
     }
 
-    /// Takes a connection back whose last answer was whole. `keep_alive` is the server's own bound of idleness.
+    /// Returns a connection to the pool after a complete response. `keep_alive` is the server's announced idle timeout.
     pub fn release(&self, mut conn: PooledConnection, now: Instant, keep_alive: Option<Duration>) {
         conn.reused = true;
-        let bound = keep_alive.map_or(MAX_IDLE, |bound| bound.saturating_sub(BEFORE_CLOSE));
+        let bound = keep_alive.map_or(MAX_IDLE, |bound| bound.saturating_sub(CLOSE_MARGIN));
         let until = now + bound.min(MAX_IDLE);
         self.idle.borrow_mut().push_back(Idle { conn, until });
     }
 
-    /// Closes connections that were idle for too long.
+    /// Closes connections that have been idle for too long.
     pub fn expire(&self, now: Instant) {
         self.idle.borrow_mut().retain(|idle| now < idle.until);
     }
 
-    /// Closes every idle connection: one of them fell silent, and the others may have too.
+    /// Closes all idle connections, after one connection broke and the others may be broken as well.
     pub fn clear(&self) {
         self.idle.borrow_mut().clear();
     }
--- a/crates/jacinthbeam-host/src/lib.rs
+++ b/crates/jacinthbeam-host/src/lib.rs
@@ -1,11 +1,11 @@
-//! The process of one entry host: callers on one side, backend servers on the other, the platform's store beside it.
+//! The process of a host, which routes requests of callers to backend servers, based on the state in the platform's store.
 //!
-//! A request passes, in this order: [`connection`] (accepted, bounded in time), [`request`] (read, routed, sent to one
-//! backend server or refused), and back. What a request is decided by is a [`version::View`]: one configuration, one list of
-//! backend servers, one ownership map of each keyed service. [`process`] keeps the view up to date, takes its part in granting
-//! keys, and starts and stops everything.
+//! A request passes through [`connection`] (accepting, timeouts) and [`request`] (reading, routing, sending to a backend server,
+//! retrying, refusing). Its routing state is a [`version::View`]: a snapshot of the configuration, the list of backend servers
+//! and the ownership map of each keyed service. [`process`] keeps the view up to date, takes part in granting keys, and starts
+//! and stops everything.
 //!
-//! How requests and calls look on the wire is told by a [`Wire`], and where this host stands by [`Settings`].
+//! A [`Wire`] defines the protocols, [`Settings`] the identity, addresses and limits of the host.
 
 pub mod connection;
 pub mod explain;
--- a/crates/jacinthbeam-host/src/operators.rs
+++ b/crates/jacinthbeam-host/src/operators.rs
@@ -1,4 +1,4 @@
-//! Asks the operators' port of a running host, for commands and experiments.
+//! Client of the operators' port of a running host, for commands and experiments.
 
 use std::{fmt, net::SocketAddr, time::Duration};
 
@@ -12,22 +12,22 @@
 
 use crate::process::status::Status;
 
-/// Time within which a host must answer.
+/// Timeout of a call.
 const TIMEOUT: Duration = Duration::from_secs(3);
-/// Largest answer that is read, in bytes.
-const MAX_ANSWER: usize = 64 << 20;
+/// Maximum size of a response, in bytes.
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
-/// Stands before a fingerprint in the path at which a host is told to let a request through.
+/// Path prefix for releasing a request from quarantine; followed by the fingerprint of the request.
 pub const LET_THROUGH: &str = "/let-through/";
 
-/// Why a host gave no answer.
+/// Why a call to a host failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Error {
-    /// It can't be reached, or the connection broke.
+    /// The host can't be reached, or the connection broke.
     Unreachable(String),
-    /// It gave no whole answer within `TIMEOUT`.
+    /// The host returned no complete response within `TIMEOUT`.
     Silent,
-    /// It answered something else than what was asked for.
+    /// The response was not of the expected kind.
     Unexpected(String),
 }
 
@@ -45,19 +45,19 @@
 
 impl std::error::Error for Error {}
 
-/// The text of a page of a host.
+/// Fetches the text of a page of a host.
 pub async fn get(addr: SocketAddr, path: &str) -> Result<String, Error> {
     timeout(TIMEOUT, fetch(addr, Method::GET, path)).await.unwrap_or(Err(Error::Silent))
 }
 
-/// Lets a request through again that is refused since servers ended under it: one host is told, and tells the others. Returns what
-/// it says.
+/// Releases a request from quarantine after server crashes, through one host, which informs the others. Returns the text of the
+/// response.
 pub async fn let_through(addr: SocketAddr, request: Fingerprint) -> Result<String, Error> {
     let path = format!("{LET_THROUGH}{request}");
     timeout(TIMEOUT, fetch(addr, Method::POST, &path)).await.unwrap_or(Err(Error::Silent))
 }
 
-/// What a host knows, in short.
+/// Fetches the status summary of a host.
 pub async fn status(addr: SocketAddr) -> Result<Status, Error> {
     let text = get(addr, "/status").await?;
     serde_json::from_str(&text).map_err(|err| Error::Unexpected(format!("no status ({err})")))
@@ -77,7 +77,7 @@
         .expect("the path is valid");
     let res = sender.send_request(req).await.map_err(|err| unreachable(&err))?;
     let status = res.status();
-    let body = Limited::new(res.into_body(), MAX_ANSWER).collect().await;
+    let body = Limited::new(res.into_body(), MAX_RESPONSE_BYTES).collect().await;
     driver.abort();
     let body = body.map_err(|err| unreachable(&err))?.to_bytes();
     if status != StatusCode::OK {
--- a/crates/jacinthbeam-host/src/send_outcome.rs
+++ b/crates/jacinthbeam-host/src/send_outcome.rs
@@ -1,51 +1,51 @@
-//! What became of a request at one backend server.
+//! Outcome of sending a request to one backend server.
 //!
-//! The sender finds it out, and whoever repeats, refuses, counts, bills or logs a request goes by it.
+//! Determined by the sender; retries, refusals, metrics, billing and logs are based on it.
 
 use bytes::Bytes;
 use http::Response;
 use http_body_util::Full;
 
-/// What became of a request at one server.
+/// Outcome of sending a request to one server.
 #[derive(Debug)]
 pub enum SendOutcome {
-    /// The server's answer, whole.
+    /// The server answered completely: the request ran.
     Answered {
-        /// As the server gave it, without headers of its connection.
+        /// The server's response without its hop-by-hop headers.
         res: Response<Full<Bytes>>,
-        /// Whether it is a signed success.
+        /// Whether it is a verified success.
         success: bool,
     },
-    /// It did not run there.
+    /// The request did not run at the server.
     NotRun(NotRun),
-    /// It may have run; no answer that can be passed on has come.
+    /// The request may have run, but there is no answer that can be forwarded.
     Lost(Lost),
 }
 
 /// Why a request did not run at a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NotRun {
-    /// The server has no room.
+    /// The server is full.
     Full,
-    /// The server doesn't hold the key.
+    /// The server doesn't own the key.
     NotOwner,
-    /// Another server has the address.
+    /// Another server, or another incarnation of the server, answered at the address.
     OtherServer,
     /// Nothing listens at the server's address.
     NotListening,
     /// The server can't be reached.
     Unreachable,
-    /// This host has no connection left for the server.
+    /// This host has reached its maximum number of connections to the server.
     NoConnection,
-    /// Another reason of the server's.
+    /// The server refused the request for another reason.
     Refused,
 }
 
-/// Why the fate of a request is not known.
+/// Why it is unknown whether a request ran.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Lost {
-    /// The connection ended, or what came is not the answer.
+    /// The connection broke, or the response was incomplete or not for this request.
     Broken,
-    /// No whole answer came in time.
+    /// No complete answer arrived in time.
     Late,
 }
--- a/crates/jacinthbeam-host/src/settings.rs
+++ b/crates/jacinthbeam-host/src/settings.rs
@@ -1,48 +1,48 @@
-//! What a process is told at its start.
+//! Settings of a host process.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
 use jacinthbeam_dispatch::{budget, slow_start};
 use jacinthbeam_types::prelude::*;
 
-/// Time for an evacuation, unless set.
+/// Default of [`Settings::evacuate_within`].
 pub const DEFAULT_EVACUATE: Duration = Duration::from_secs(5);
 
-/// Where this host stands, and the bounds that it works within.
+/// Identity, addresses and limits of a host.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
     /// Name of the host.
     pub host: HostId,
-    /// Where it runs.
+    /// Failure domain that it runs in.
     pub domain: FailureDomain,
-    /// The region of each failure domain; empty if nothing is bound to a region.
+    /// Region of each failure domain; empty if no route is restricted to regions.
     pub regions: BTreeMap<FailureDomain, Region>,
-    /// Its share of a processor.
+    /// CPU quota of the host.
     pub processor: Millicores,
-    /// Where callers connect.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Where the balancer asks whether this host takes callers.
+    /// Address of the readiness check for the load balancer.
     pub ready: SocketAddr,
-    /// Where other hosts send reports to.
+    /// Address for reports of other hosts.
     pub peers: SocketAddr,
-    /// Where some other hosts hear reports, for a start while the store can't be read. They may be stale.
+    /// Report addresses of some other hosts, for a start while the store is unavailable. They may be outdated.
     pub seeds: Vec<SocketAddr>,
-    /// Where metrics and the dump are read.
+    /// Address for metrics and the dump.
     pub metrics: SocketAddr,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub store: SocketAddr,
-    /// Partitions of a topic in the store.
+    /// Number of partitions of a topic in the store.
     pub partitions: u32,
-    /// Budget of repeats of each service, of all hosts together.
+    /// Retry budget of each service, for all hosts together.
     pub repeats: budget::Options,
-    /// Time after which a backend server that is leaving must get no request any more, from its word in the store.
+    /// Time after which a draining backend server must get no more requests, from its record in the store.
     pub drain_within: Duration,
-    /// Time after which no request may reach a backend server of a failure domain that is evacuated, from the operator's word in the
+    /// Time after which no request may reach a backend server of an evacuated failure domain, from the operator's record in the
     /// store.
     pub evacuate_within: Duration,
-    /// What a cold server may get beyond its rate.
+    /// How far a cold server may get more than its rate.
     pub slow_start: slow_start::Bounds,
-    /// Time after which a configuration that the operator was told is kept must act.
+    /// Time after which a configuration must be in effect, from the acknowledgement of its publication.
     pub config_within: Duration,
     /// Time between a request to stop and the forced end of the process.
     pub stop_within: Duration,
--- a/crates/jacinthbeam-host/src/version/mod.rs
+++ b/crates/jacinthbeam-host/src/version/mod.rs
@@ -1,4 +1,4 @@
-//! What requests are decided by at one moment.
+//! The routing state that a request is decided by at one moment.
 
 mod view;
 
--- a/crates/jacinthbeam-host/src/version/view.rs
+++ b/crates/jacinthbeam-host/src/version/view.rs
@@ -1,4 +1,4 @@
-//! One consistent set of everything that a request needs to know.
+//! A consistent snapshot of the routing state, and how fresh it is.
 
 use std::{
     collections::BTreeMap,
@@ -12,33 +12,34 @@
 use jacinthbeam_route::{Config, Servers};
 use jacinthbeam_types::prelude::*;
 
-/// Configuration, backend servers and owners, as this host knows them now. Replaced as a whole at each change.
+/// Snapshot of the configuration, the backend servers and the owners of keys, as known to this host. Replaced as a whole on each
+/// change.
 #[derive(Debug, Clone, Default)]
 pub struct View {
-    /// `None` until the first configuration was read.
+    /// The configuration; `None` until the first one was read.
     pub config: Option<Arc<Config>>,
-    /// The backend servers.
+    /// The list of backend servers.
     pub servers: Arc<Servers>,
-    /// Servers that are leaving, or have left the list.
+    /// Servers that are draining or were removed from the list.
     pub leaving: Arc<BTreeMap<ServerId, Leaving>>,
-    /// Failure domains that are evacuated, and since when. Their servers are on the list as leaving ones.
+    /// Evacuated failure domains, and since when. Their servers are listed as draining.
     pub evacuated: Arc<BTreeMap<FailureDomain, Leaving>>,
-    /// Cold servers whose service bounds what they get.
+    /// Cold servers whose service limits their rate.
     pub cold: Arc<BTreeMap<ServerId, ColdServer>>,
-    /// Owners of the keys of each keyed service.
+    /// Ownership map of each keyed service.
     pub maps: BTreeMap<ServiceName, Arc<Map>>,
-    /// Hosts that share the budget of repeats; 0 until they are known.
+    /// Number of hosts that share the retry budget; 0 while it is unknown.
     pub hosts: u32,
-    /// The place of this host among those of its failure domain.
+    /// Position of this host among the hosts of its failure domain, for its preferred subset of servers.
     pub subset_position: Position,
-    /// The place of this host among them.
+    /// Rank of this host among all hosts, for probes of requests on probation.
     pub rank: Rank,
-    /// Requests under which servers have ended.
+    /// Requests under which servers have crashed.
     pub suspects: Arc<Suspects>,
 }
 
 impl View {
-    /// Whether a request may still be sent to `server`, given how long it may be after the store took the word of its leaving.
+    /// Whether a request may still be sent to `server`, given the grace period of draining and evacuated servers.
     pub fn may_send(&self, server: &ServerId, now: Instant, grace: Grace) -> bool {
         let evacuated = self.servers.get(server).and_then(|s| self.evacuated.get(&s.domain));
         let is_over = |since: &Leaving| since.elapsed(now) >= grace.evacuated;
@@ -51,77 +52,80 @@
         }
     }
 
-    /// What a cold server may get of this host now; `None` if nothing bounds it.
+    /// Slow start of a server at `now`; `None` if the server is not rate-limited.
     pub fn cold_server(&self, server: &ServerId, now: Instant) -> Option<&ColdServer> {
         self.cold.get(server).filter(|cold| now < cold.until)
     }
 }
 
-/// How long requests may go to a server after the store took the word that it leaves.
+/// How long requests may be sent to a server after the store recorded that it is draining or evacuated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Grace {
-    /// If the server said so itself, or left the list.
+    /// Grace period of a server that is draining or was removed from the list.
     pub drained: Duration,
-    /// If the operator evacuates its failure domain.
+    /// Grace period of a server whose failure domain the operator evacuates.
     pub evacuated: Duration,
 }
 
-/// A cold server, and this host's part in what it gets.
+/// Slow start of a cold server, as it applies to this host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ColdServer {
-    /// It is warm from then on.
+    /// When the server is warm.
     pub until: Instant,
-    /// Pause between two requests of this host; `None` if others send to it, and this host doesn't.
+    /// Minimum time between two requests of this host; `None` if this host is not one of its senders.
     pub spacing: Option<Duration>,
 }
 
-/// How far what a host knows reaches. Told beside the view, since it changes with each read, also of one that finds nothing new.
+/// How fresh the state of a host is. Published separately from the [`View`], since it changes with each read of the store, even if
+/// the state doesn't.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Freshness {
-    /// No newer configuration than that of the view had been acknowledged before this moment; `None` if nothing is known of it.
+    /// The view has every configuration that was acknowledged before this moment; `None` if unknown.
     pub config: Option<Instant>,
-    /// Everything that the store had taken of the servers before this moment is in the view.
+    /// The view has every change of the servers that the store recorded before this moment; `None` if unknown.
     pub servers: Option<Instant>,
-    /// When the control thread last said so. It does at each of its ticks.
+    /// When the control thread last published this. It does so at each of its ticks.
     pub updated: Option<Instant>,
 }
 
-/// Silence of the control thread, in ten ticks, after which it counts as held up.
-const HELD_UP_AFTER: Duration = Duration::from_secs(1);
+/// Time without an update by the control thread after which it counts as stalled: ten of its ticks.
+const STALLED_AFTER: Duration = Duration::from_secs(1);
 
 impl Freshness {
-    /// Whether servers of the view may have left so long ago that no request may reach them, and this host alone doesn't know.
+    /// Whether the control thread is stalled for so long that servers of the view may have passed `drain_within`.
     ///
-    /// A host that has no time for what it hears goes on using what has left: a request was sent 2.7 s after the store had taken the word
-    /// of a server's leaving, where 2 s are allowed. Told to come back, its callers reach another host. While the control thread has
-    /// its turns, old news mean that the store is away, for everybody as far as this host can tell, and serving goes on.
+    /// A host without CPU time for updates continues to use servers that have left: a request was sent 2.7 s after the store
+    /// had recorded that its server was draining, where 2 s are allowed. Callers of a stalled host are refused and retry at
+    /// another one. If the control thread runs but the server list is stale, the store is unavailable, presumably for all hosts,
+    /// and the host continues to serve.
     pub fn is_stalled(&self, now: Instant, drain_within: Duration) -> bool {
         let since = |at: Option<Instant>| at.map(|at| now.saturating_duration_since(at));
-        let silent = since(self.updated).is_some_and(|silent| silent > HELD_UP_AFTER);
-        silent && since(self.servers).is_some_and(|age| age > drain_within)
+        let is_silent = since(self.updated).is_some_and(|silence| silence > STALLED_AFTER);
+        is_silent && since(self.servers).is_some_and(|age| age > drain_within)
     }
 }
 
-/// When the store took the word that a server leaves, at the earliest.
+/// Earliest time at which the store can have recorded that a server is leaving, which means that it drains, was removed or is
+/// evacuated.
 ///
-/// The time at which this host heard of it is no bound: news that pass several hosts, or a host that is behind, were seen to take 1.4 s,
-/// and a server that is still used for a fixed time from then on gets requests after it has ended. The store can't have taken it
-/// before the last read that didn't show it was sent, however long the news took from there.
+/// The time at which this host received the record is no such bound. Updates that are relayed by several hosts, or by a slow
+/// one, took up to 1.4 s, and with a fixed grace period from then on a server would get requests after its exit. But the store
+/// can't have recorded it before the start of the last read that didn't contain it, however long the update took from there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Leaving {
     /// Not before this moment.
     Since(Instant),
-    /// Nothing is known that would bound it.
+    /// No lower bound is known.
     LongAgo,
 }
 
 impl Leaving {
-    /// The word was not there at `as_of`, if that is known.
+    /// Bound from a read of the store at `as_of` that didn't contain the record; `None` if there is none.
     pub fn after(as_of: Option<Instant>) -> Self {
         as_of.map_or(Self::LongAgo, Self::Since)
     }
 
-    /// Of two bounds that both hold, the closer one.
+    /// The later, that is tighter, of two lower bounds that both hold.
     #[must_use]
     pub fn closer(self, other: Self) -> Self {
         match (self, other) {
@@ -130,7 +134,7 @@
         }
     }
 
-    /// How long ago that is; the longest time if it isn't known.
+    /// Time since the bound; [`Duration::MAX`] if there is none.
     pub fn elapsed(self, now: Instant) -> Duration {
         match self {
             Self::Since(at) => now.saturating_duration_since(at),
--- a/crates/jacinthbeam-host/src/wire.rs
+++ b/crates/jacinthbeam-host/src/wire.rs
@@ -1,4 +1,4 @@
-//! What an adapter says of the wire: plain functions between messages and this crate's types.
+//! Interface of a protocol adapter: plain functions that translate between wire messages and this crate's types.
 
 use std::time::Duration;
 
@@ -9,118 +9,117 @@
 use jacinthbeam_store::Partition;
 use jacinthbeam_types::prelude::*;
 
-/// How everything outside this host speaks.
+/// The protocols spoken with callers, backend servers and the store.
 #[derive(Debug, Clone, Copy)]
 pub struct Wire {
-    /// Calls to the store.
+    /// Encoding of the calls to the store.
     pub store: jacinthbeam_store::Wire,
-    /// Where things lie in the store.
+    /// Topics and keys in the store.
     pub store_layout: StoreLayout,
-    /// What the head of a caller's request says.
+    /// Parses the head of a caller's request.
     pub parse_caller_headers: fn(&Parts) -> Result<CallerHeaders, HeaderError>,
-    /// Sets the headers that a request carries from this host to a backend server.
+    /// Sets the headers that this host adds to a request to a backend server.
     pub set_forward_headers: fn(&mut HeaderMap, &Forward<'_>),
-    /// What the head of an answer says, given the request's id and the server that was asked.
+    /// Classifies the head of a backend server's response, given the id of the request and the server that it was sent to.
     pub classify_response: fn(StatusCode, &HeaderMap, &HeaderValue, &ServerId) -> ResponseKind,
-    /// Sets what a refusal's head says besides its status: when to come back, what may have become of the request, and its
-    /// id if its head could be read.
+    /// Sets the headers of a refusal: the retry hint, the verdict, and the id of the request if its head could be parsed.
     pub set_refusal_headers: fn(&mut HeaderMap, Option<&HeaderValue>, &Refusal),
-    /// Sets what an answer's head says besides what its backend server said.
+    /// Sets the headers that this host adds to the answer of a backend server.
     pub set_delivered_headers: fn(&mut HeaderMap),
-    /// The call that grants keys for this long.
+    /// Builds the call that grants keys for a duration.
     pub grant_request: fn(&Owner, &RangeGrant, Duration) -> Request<Bytes>,
-    /// What the answer to a grant says.
+    /// Parses the response to a grant.
     pub parse_grant_response: fn(&Owner, &Response<Bytes>) -> Granted,
-    /// The call that takes keys back.
+    /// Builds the call that releases keys.
     pub release_request: fn(&Owner, KeyRange, Token) -> Request<Bytes>,
-    /// What the answer to a release says.
+    /// Parses the response to a release.
     pub parse_release_response: fn(&Owner, &Response<Bytes>) -> Released,
-    /// A configuration as kept in the store.
+    /// Parses a configuration as kept in the store.
     pub parse_config: fn(&[u8]) -> Result<Config, String>,
-    /// A backend server's entry in the store, given its key.
+    /// Parses the entry of a backend server in the store, given its key and value.
     pub parse_server: fn(&str, &[u8]) -> Result<Server, String>,
 }
 
-/// Names in the store.
+/// Topics, partitions and keys in the store.
 #[derive(Debug, Clone, Copy)]
 pub struct StoreLayout {
-    /// Holds the operator's records.
+    /// Partition of the operator's records.
     pub operator: fn() -> Partition,
-    /// Key of the configuration among them.
+    /// Key of the configuration among the operator's records.
     pub config_key: &'static str,
-    /// What keys of the operator's records begin with that evacuate a failure domain; its name follows.
+    /// Key prefix of the operator's records that evacuate a failure domain; followed by the name of the domain.
     pub evacuation_prefix: &'static str,
-    /// Holds the entries of the backend servers.
+    /// Partition of the entries of the backend servers.
     pub servers: fn() -> Partition,
-    /// Keyed topic for the ownership maps.
+    /// Keyed topic of the ownership maps.
     pub maps: &'static str,
-    /// Keyed topic in which each host says where it is.
+    /// Keyed topic in which each host publishes its address.
     pub hosts: &'static str,
-    /// Topic whose partitions stand for the duties to grant.
+    /// Topic with one partition for each duty to grant keys.
     pub duties: &'static str,
-    /// Keyed topic for what each host counted against teams.
+    /// Keyed topic of the usage that each host charges to teams.
     pub usage: &'static str,
 }
 
-/// What a caller's request says besides its method, path and body.
+/// What the headers of a caller's request specify.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CallerHeaders {
-    /// Name of this attempt of the caller; answers repeat it.
+    /// Id of this attempt, which is echoed in the response.
     pub id: HeaderValue,
-    /// How long the caller waits.
+    /// How long the caller waits for a response.
     pub timeout: Option<Duration>,
-    /// The key that the request is about.
+    /// Key of the request.
     pub key: Option<Key>,
-    /// Whether this request may run more than once, if the caller says so. Else its route does.
+    /// Whether this request may run more than once; `None` if that is determined by its route.
     pub idempotent: Option<bool>,
 }
 
-/// Why the head of a request can't be read.
+/// Why the headers of a request are invalid.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum HeaderError {
-    /// The attempt has no name.
+    /// The attempt has no id.
     NoId,
-    /// A header is not what it should be.
+    /// The header with this name has an invalid value.
     Header(&'static str),
 }
 
-/// What a request carries to a backend server.
+/// What this host adds to a request to a backend server.
 #[derive(Debug, Clone, Copy)]
 pub struct Forward<'a> {
-    /// Name of the attempt.
+    /// Id of the attempt.
     pub id: &'a HeaderValue,
-    /// Time left for the answer.
+    /// Time left until the deadline.
     pub left: Duration,
-    /// The server that is meant.
+    /// The server that the request is meant for.
     pub server: &'a ServerId,
 }
 
-/// What the head of an answer says.
+/// Classification of a backend server's response by its head.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ResponseKind {
-    /// The answer to the request: it ran. `success` if it succeeded and is signed.
+    /// The answer to the request, which ran.
     Answer {
-        /// Whether it may be passed on as a success.
+        /// Whether the request succeeded and the answer is verified, so that it may be forwarded as a success.
         success: bool,
     },
-    /// The request did not run, for want of room.
+    /// The request did not run: the server is full.
     Full,
-    /// The request did not run: the server doesn't hold its key.
+    /// The request did not run: the server doesn't own its key.
     NotOwner,
-    /// The request did not run: another server has the address.
+    /// The request did not run: another server, or another incarnation, answered at the address.
     OtherServer,
     /// The request did not run, for another reason.
     Refused,
-    /// Not the answer to this request, or none that may be passed on. The request may have run.
+    /// Not an answer to this request, or one that must not be forwarded. The request may have run.
     Foreign,
 }
 
-/// What the answer to a grant says.
+/// Response to a grant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Granted {
-    /// The keys are held.
+    /// The server holds the keys.
     Held,
-    /// A higher token was seen on one of the keys.
+    /// The server has seen a higher fencing token for one of the keys.
     HigherSeen,
     /// Another server has the address.
     OtherServer,
@@ -128,10 +127,10 @@
     Unclear,
 }
 
-/// What the answer to a release says.
+/// Response to a release.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Released {
-    /// No request of the keys runs any more; what to hand over.
+    /// No request for the keys is running any more; with the handover data, if any.
     Done(Option<String>),
     /// Another server has the address.
     OtherServer,
