--- a/crates/jacinthbeam-host/src/operators.rs
+++ b/crates/jacinthbeam-host/src/operators.rs
@@ -35,9 +35,9 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Unreachable(why) => write!(f, "can't be reached: {why}"),
-            Self::Silent => write!(f, "gave no answer within {TIMEOUT:?}"),
+            Self::Silent => write!(f, "returned no complete response within {TIMEOUT:?}"),
             Self::Unexpected(what) => {
-                write!(f, "answered {what}; is that its operators' address?")
+                write!(f, "unexpected response: {what}; is this its operators' address?")
             }
         }
     }
--- a/crates/jacinthbeam-host/src/version/view.rs
+++ b/crates/jacinthbeam-host/src/version/view.rs
@@ -80,7 +80,7 @@
 /// the state doesn't.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Freshness {
-    /// The view has every configuration that was acknowledged before this moment; `None` if unknown.
+    /// The view has the newest configuration of those that were acknowledged before this moment; `None` if unknown.
     pub config: Option<Instant>,
     /// The view has every change of the servers that the store recorded before this moment; `None` if unknown.
     pub servers: Option<Instant>,
--- a/crates/jacinthbeam-host/src/wire.rs
+++ b/crates/jacinthbeam-host/src/wire.rs
@@ -53,7 +53,7 @@
     pub servers: fn() -> Partition,
     /// Keyed topic of the ownership maps.
     pub maps: &'static str,
-    /// Keyed topic in which each host publishes its address.
+    /// Keyed topic in which each host publishes its address and failure domain.
     pub hosts: &'static str,
     /// Topic with one partition for each duty to grant keys.
     pub duties: &'static str,
