--- a/crates/jacinthbeam-store/src/call.rs
+++ b/crates/jacinthbeam-store/src/call.rs
@@ -1,4 +1,4 @@
-//! What can be asked of the store, and what it answers.
+//! The store's operations, their results and errors.
 
 use std::{fmt, time::Duration};
 
@@ -12,7 +12,7 @@
 pub struct Partition {
     /// Name of the topic.
     pub topic: String,
-    /// Number from 0.
+    /// Number within the topic, starting at 0.
     pub number: u32,
 }
 
@@ -22,50 +22,50 @@
     }
 }
 
-/// One call.
+/// A call to the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Call {
-    /// Adds a record under a key to a keyed partition.
+    /// Appends a record with a key to a keyed partition.
     Put {
-        /// Where to.
+        /// The partition to append to.
         to: Partition,
-        /// At most 255 bytes.
+        /// Key of the record, at most 255 bytes.
         key: String,
-        /// Must not be empty: a record without a value removes the key.
+        /// Value of the record. Must not be empty, since a record with an empty value removes the key.
         value: Bytes,
-        /// Only if the partition ends at this offset.
+        /// If set, the call fails with [`Error::Conflict`] unless the partition ends at this offset.
         only_at: Option<Offset>,
     },
-    /// Reads records from an offset on. If there are none, waits for one.
+    /// Reads records from an offset on. If there are none yet, waits for one.
     Read {
-        /// Where from.
+        /// The partition to read.
         from: Partition,
-        /// First record wanted.
+        /// Offset of the first record to read.
         at: Offset,
-        /// Longest wait.
+        /// Maximum time to wait for a record.
         wait: Duration,
     },
-    /// Reads the newest record of each key of a keyed partition, in pages.
+    /// Reads the newest record of each key of a keyed partition, page by page.
     Newest {
-        /// Where from.
+        /// The partition to read.
         from: Partition,
-        /// Last key of the page before.
+        /// Last key of the previous page, or `None` for the first page.
         after: Option<String>,
     },
-    /// Joins a group, or stays in it.
+    /// Joins a consumer group, or renews the membership.
     Join {
         /// Name of the group.
         group: String,
         /// Name of the member.
         member: String,
-        /// Topic whose partitions the group shares out.
+        /// Topic whose partitions are divided among the members.
         topic: String,
-        /// Without another call the membership ends after this time.
+        /// Time after which the membership expires unless it is renewed.
         lease: Duration,
-        /// The last generation heard of, or 0.
+        /// The last generation that the member received, or 0.
         generation: u64,
     },
-    /// Leaves a group.
+    /// Leaves a consumer group.
     Leave {
         /// Name of the group.
         group: String,
@@ -75,7 +75,7 @@
 }
 
 impl Call {
-    /// What kind of call it is, in a word.
+    /// Name of the operation, for logs and metrics.
     pub fn kind(&self) -> &'static str {
         match self {
             Self::Put { .. } => "put",
@@ -87,39 +87,39 @@
     }
 }
 
-/// The answer to a call that succeeded.
+/// The result of a successful call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reply {
-    /// To [`Call::Put`]: the partition's end after the record.
+    /// Result of [`Call::Put`]: the end of the partition after the new record.
     Kept(Offset),
-    /// To [`Call::Read`].
+    /// Result of [`Call::Read`].
     Records {
-        /// The records, the first at the offset that was asked for.
+        /// The records. The first one is at the requested offset.
         records: Vec<Bytes>,
         /// End of the partition.
         end: Offset,
     },
-    /// To [`Call::Newest`].
+    /// Result of [`Call::Newest`].
     Page(Page),
-    /// To [`Call::Join`]: the generation, and the partitions that fall to the member.
+    /// Result of [`Call::Join`]: the group's generation and the partitions assigned to the member.
     Member {
-        /// Rises with each change of the group.
+        /// Incremented with each change of the group.
         generation: u64,
-        /// What the member holds.
+        /// The partitions assigned to the member.
         shares: Vec<Share>,
     },
-    /// To [`Call::Leave`].
+    /// Result of [`Call::Leave`].
     Left,
 }
 
 /// A page of the newest records.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Page {
-    /// Ascending by key.
+    /// The records, ascending by key.
     pub items: Vec<Item>,
-    /// Whether there are further pages.
+    /// Whether more pages follow.
     pub more: bool,
-    /// End of the partition when the page was made.
+    /// End of the partition at the time of the page.
     pub end: Offset,
 }
 
@@ -128,13 +128,13 @@
 pub struct Item {
     /// The key.
     pub key: String,
-    /// The value; empty if the key was removed.
+    /// The value, or empty if the key was removed.
     pub value: Bytes,
     /// Offset of the record.
     pub offset: Offset,
 }
 
-/// A partition that a member of a group holds.
+/// A partition that is assigned to a member of a group.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Share {
     /// The partition.
@@ -144,32 +144,35 @@
 /// Why a call failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Error {
-    /// The partition doesn't end where the call said. Nothing was done.
+    /// The partition doesn't end at the offset that the call expected. The call had no effect.
     Conflict,
-    /// The records asked for are gone.
+    /// The requested records have been deleted.
     Expired,
-    /// The store does nothing for this host at present: too many calls, overload, no room. Nothing was done.
+    /// The store accepts no calls of this host at present: rate limit, overload or no space. The call had no
+    /// effect.
     Busy(StatusCode),
     /// The call was not sent.
     NotSent(String),
-    /// The call was sent and got no whole answer. It may have been done, or may still be.
+    /// The call was sent, but no complete response arrived. It may have taken effect, or may still do so.
     Lost(String),
-    /// The store can't take the call as it is.
+    /// The store rejects the call as invalid.
     Refused(StatusCode),
-    /// The answer can't be read. The call may have been done.
+    /// The response can't be decoded. The call may have taken effect.
     Malformed(String),
 }
 
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Conflict => f.write_str("another record was added first"),
-            Self::Expired => f.write_str("the records asked for have been deleted"),
+            Self::Conflict => f.write_str("another record was appended first"),
+            Self::Expired => f.write_str("the requested records have been deleted"),
             Self::Busy(status) => write!(f, "the store takes no calls of this host now ({status})"),
             Self::NotSent(why) => write!(f, "the call was not sent: {why}"),
-            Self::Lost(why) => write!(f, "the call got no whole answer and may be done: {why}"),
-            Self::Refused(status) => write!(f, "the store refused the call as such ({status})"),
-            Self::Malformed(why) => write!(f, "the answer can't be read: {why}"),
+            Self::Lost(why) => {
+                write!(f, "no complete response arrived, so the call may have taken effect: {why}")
+            }
+            Self::Refused(status) => write!(f, "the store rejected the call as invalid ({status})"),
+            Self::Malformed(why) => write!(f, "the response can't be decoded: {why}"),
         }
     }
 }
@@ -177,7 +180,7 @@
 impl std::error::Error for Error {}
 
 impl Error {
-    /// What kind of failure it is, in a word.
+    /// Name of the failure, for logs and metrics.
     pub fn kind(&self) -> &'static str {
         match self {
             Self::Conflict => "conflict",
@@ -190,17 +193,17 @@
         }
     }
 
-    /// Whether a call that changes something may have done so, or may do so later.
+    /// Whether a call that changes the store may have taken effect, or may still do so.
     pub fn may_be_done(&self) -> bool {
         matches!(self, Self::Lost(_) | Self::Malformed(_))
     }
 }
 
-/// How calls look on the wire.
+/// The wire format of calls and responses.
 #[derive(Debug, Clone, Copy)]
 pub struct Wire {
-    /// The request of a call. Its target is a path and query only.
+    /// Returns the request for a call. Its target consists of path and query only.
     pub encode: fn(&Call) -> Request<Bytes>,
-    /// What an answer to the call means.
+    /// Interprets the status and body of the response to a call.
     pub decode: fn(&Call, StatusCode, &Bytes) -> Result<Reply, Error>,
 }
--- a/crates/jacinthbeam-store/src/client.rs
+++ b/crates/jacinthbeam-store/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls over kept connections.
+//! Client of the store: calls over persistent connections.
 
 use std::{
     fmt,
@@ -12,24 +12,25 @@
 
 use crate::{
     call::{Call, Error, Reply, Wire},
-    pace::Pace,
+    rate_limit::RateLimiter,
 };
 
-/// Longest answer that is read. Pages and batches are bounded to a megabyte by the store.
-const MAX_ANSWER: usize = 4 << 20;
+/// Maximum size of a response body. The store limits pages and batches to one megabyte.
+const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
-/// Time for an answer besides the wait that the call asks for. The store answers in milliseconds, a slow one in some hundred.
-/// An answer that is lost holds up its lane for this long, and a change that was missed has two seconds to act.
-const ANSWER_WITHIN: Duration = Duration::from_millis(800);
+/// Timeout of a call, in addition to the wait that a read requests. The store responds within milliseconds,
+/// or within some hundred if it is slow. A lost response blocks its lane for this long, and a change that is
+/// missed meanwhile must take effect within two seconds.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Is told of each call that has ended, and of its failure.
+/// A callback for each completed call, with the error if it failed.
 #[derive(Clone)]
 pub struct Observer(Arc<OnEnd>);
 
 type OnEnd = dyn Fn(&Call, Option<&Error>) + Send + Sync;
 
 impl Observer {
-    /// Calls `on_end` with each call.
+    /// Creates an observer that runs `on_end` after each call.
     pub fn new(on_end: impl Fn(&Call, Option<&Error>) + Send + Sync + 'static) -> Self {
         Self(Arc::new(on_end))
     }
@@ -41,17 +42,17 @@
     }
 }
 
-/// The store, for one process.
+/// Client of the store. The rate limit applies to all clones together.
 #[derive(Debug, Clone)]
 pub struct Client {
     addr: SocketAddr,
     wire: Wire,
     clock: Arc<dyn Clock>,
-    pace: Arc<Mutex<Pace>>,
+    rate_limiter: Arc<Mutex<RateLimiter>>,
     observer: Option<Observer>,
 }
 
-/// A connection of its own to the store, so that a call that waits holds up no other.
+/// A separate connection to the store, so that a waiting call doesn't delay the calls on other lanes.
 #[derive(Debug)]
 pub struct Lane {
     client: Client,
@@ -59,25 +60,31 @@
 }
 
 impl Client {
-    /// A client that is not connected yet.
+    /// Creates a client without connecting.
     pub fn open(addr: SocketAddr, wire: Wire, clock: Arc<dyn Clock>) -> Self {
-        Self { addr, wire, clock, pace: Arc::new(Mutex::new(Pace::new())), observer: None }
+        Self {
+            addr,
+            wire,
+            clock,
+            rate_limiter: Arc::new(Mutex::new(RateLimiter::new())),
+            observer: None,
+        }
     }
 
-    /// The same client, whose calls are told of.
+    /// Sets the observer that is notified of each call.
     #[must_use]
     pub fn observed(self, observer: Observer) -> Self {
         Self { observer: Some(observer), ..self }
     }
 
-    /// A lane for one kind of calls. Calls on one lane wait for each other.
+    /// Creates a lane. Calls on the same lane are made one after the other.
     pub fn lane(&self) -> Lane {
-        Lane { client: self.clone(), line: Line::new(self.addr, MAX_ANSWER) }
+        Lane { client: self.clone(), line: Line::new(self.addr, MAX_RESPONSE_BYTES) }
     }
 }
 
 impl Lane {
-    /// Makes a call.
+    /// Makes a call once the rate limit allows it and the earlier calls on this lane are done.
     pub async fn call(&self, call: &Call) -> Result<Reply, Error> {
         let reply = self.exchange(call).await;
         if let Some(Observer(on_end)) = &self.client.observer {
@@ -91,8 +98,9 @@
 
     async fn exchange(&self, call: &Call) -> Result<Reply, Error> {
         let pause = {
-            let mut pace = self.client.pace.lock().expect("no holder of the lock panics");
-            pace.take(self.client.clock.now())
+            let mut limiter =
+                self.client.rate_limiter.lock().expect("no holder of the lock panics");
+            limiter.take(self.client.clock.now())
         };
         tokio::time::sleep(pause).await;
         let wait = match call {
@@ -100,10 +108,11 @@
             _ => Duration::ZERO,
         };
         let req = (self.client.wire.encode)(call);
-        let res = self.line.exchange(req, wait + ANSWER_WITHIN).await.map_err(|err| match err {
-            LineError::NotSent(why) => Error::NotSent(why),
-            LineError::Lost(why) => Error::Lost(why),
-        })?;
+        let res =
+            self.line.exchange(req, wait + RESPONSE_TIMEOUT).await.map_err(|err| match err {
+                LineError::NotSent(why) => Error::NotSent(why),
+                LineError::Lost(why) => Error::Lost(why),
+            })?;
         (self.client.wire.decode)(call, res.status(), res.body())
     }
 }
--- a/crates/jacinthbeam-store/src/keyed.rs
+++ b/crates/jacinthbeam-store/src/keyed.rs
@@ -1,4 +1,4 @@
-//! Following a keyed partition: the newest value of each key, and every change after it.
+//! Follows a keyed partition: reads the newest record of each key, then all later records.
 
 use std::time::Duration;
 
@@ -9,89 +9,94 @@
 
 /// Follows one partition.
 ///
-/// The store may forget its history, or show a state of some seconds ago after that. Both end with a page of the newest
-/// records, whose older parts must not undo what is known: whoever keeps the records compares their offsets.
+/// When the store has deleted records that were not read yet, the follower reads the newest record of each
+/// key again. The store may then return a state that is some seconds old, so a caller that keeps the records
+/// has to compare offsets, or an older record would replace a newer one.
 #[derive(Debug)]
 pub struct Follower {
     partition: Partition,
-    /// Next record to read; `None` before the first page and after the history was lost.
+    /// Offset of the next record to read. `None` before the first read, and after the store has deleted
+    /// records that were not read yet.
     next: Option<Offset>,
 }
 
-/// What one look at the partition gave.
+/// Result of [`Follower::look`].
 #[derive(Debug, Default)]
 pub struct Changes {
-    /// Records, in their order. Some may be known.
+    /// The records, ascending by offset, or by key if `whole` is set. The caller may already have some of
+    /// them.
     pub items: Vec<Item>,
-    /// End of the partition as far as it was read.
+    /// Offset up to which the partition was read. Never beyond a record that was not read.
     pub end: Offset,
-    /// Whether `items` are all keys that there are. Others whose records are from before `end` have been removed.
+    /// Whether `items` holds all existing keys. Any other key whose record is from before `end` has been
+    /// removed.
     pub whole: bool,
 }
 
 impl Follower {
-    /// A follower that has read nothing.
+    /// Creates a follower that starts with the newest record of each key.
     pub fn new(partition: Partition) -> Self {
         Self { partition, next: None }
     }
 
-    /// A follower that knows everything before `at`.
+    /// Creates a follower that reads the records from `at` on.
     pub fn after(partition: Partition, at: Offset) -> Self {
         Self { partition, next: Some(at) }
     }
 
-    /// The partition.
+    /// The partition that is followed.
     pub fn partition(&self) -> &Partition {
         &self.partition
     }
 
-    /// End of what was read so far.
+    /// Offset up to which the partition was read, or `None` if the next look starts over.
     pub fn end(&self) -> Option<Offset> {
         self.next
     }
 
-    /// Begins with the newest records of all keys at the next look.
+    /// Makes the next look read the newest record of each key.
     pub fn start_over(&mut self) {
         self.next = None;
     }
 
-    /// Reads what is new, and waits for it up to `wait` if there is nothing.
+    /// Reads the records since the last look. If there are none, waits for one for up to `wait`.
     ///
-    /// One answer of the store holds a bounded number of bytes. Reads until everything is known that the partition held when the
-    /// first answer was made, so that [`Changes::end`] never passes a record that wasn't read. After an error nothing counts as read.
+    /// The size of a single response is limited. Therefore reads until the offset at which the partition
+    /// ended at the first response, so that the caller is up to date as of that response. After an error,
+    /// the next look reads the same records again.
     pub async fn look(&mut self, lane: &Lane, wait: Duration) -> Result<Changes, Error> {
-        let Some(from) = self.next else { return self.all(lane).await };
+        let Some(from) = self.next else { return self.read_newest(lane).await };
         let (mut items, mut at, mut wait) = (Vec::new(), from, wait);
-        let mut known_to = from;
+        let mut first_end = from;
         loop {
             let call = Call::Read { from: self.partition.clone(), at, wait };
             let (records, end) = match lane.call(&call).await {
                 Ok(Reply::Records { records, end }) => (records, end),
-                Ok(_) => return Err(Error::Malformed("not the answer to a read".into())),
+                Ok(_) => return Err(Error::Malformed("unexpected response to a read".into())),
                 Err(Error::Expired) => {
                     tracing::info!(part = "store", event = "expired", partition = %self.partition);
                     self.next = None;
-                    return self.all(lane).await;
+                    return self.read_newest(lane).await;
                 }
                 Err(err) => return Err(err),
             };
-            self.take(at, &records, end, &mut items)?;
+            self.append_records(at, &records, end, &mut items)?;
             if at == from {
-                known_to = end;
+                first_end = end;
             }
             at.0 += records.len() as u64;
-            // The first answer may have waited for its records; those after them are there.
+            // Only the first call may wait: the remaining records already exist.
             wait = Duration::ZERO;
-            if at >= known_to || records.is_empty() {
+            if at >= first_end || records.is_empty() {
                 break;
             }
-            tracing::info!(part = "store", event = "behind", partition = %self.partition, from = %from, read_to = %at, end = %known_to);
+            tracing::info!(part = "store", event = "behind", partition = %self.partition, from = %from, read_to = %at, end = %first_end);
         }
         self.next = Some(at);
         Ok(Changes { items, end: at, whole: false })
     }
 
-    async fn all(&mut self, lane: &Lane) -> Result<Changes, Error> {
+    async fn read_newest(&mut self, lane: &Lane) -> Result<Changes, Error> {
         let mut items = Vec::new();
         let mut after = None;
         let mut end = None;
@@ -99,10 +104,15 @@
             let call = Call::Newest { from: self.partition.clone(), after: after.clone() };
             let page = match lane.call(&call).await? {
                 Reply::Page(page) => page,
-                _ => return Err(Error::Malformed("not the answer to a read of the newest".into())),
+                _ => {
+                    return Err(Error::Malformed(
+                        "unexpected response to a read of the newest records".into(),
+                    ));
+                }
             };
             let Page { items: more_items, more, end: page_end } = page;
-            // Pages aren't one moment: what changed after the first is read from its end on.
+            // The pages are not one consistent snapshot, so the next look starts at the lowest end
+            // that a page had.
             end = Some(end.map_or(page_end, |end: Offset| end.min(page_end)));
             after = more_items.last().map(|item| item.key.clone());
             items.extend(more_items);
@@ -110,19 +120,19 @@
                 break;
             }
             if after.is_none() {
-                // Taken for the last page, it would remove every key that the next one holds.
-                return Err(Error::Malformed("a page holds nothing, though more follow".into()));
+                // If this counted as the last page, all keys of the following pages would be removed.
+                return Err(Error::Malformed("the page is empty, although more follow".into()));
             }
         }
-        Ok(self.take_all(items, end.unwrap_or_default()))
+        Ok(self.finish_full_read(items, end.unwrap_or_default()))
     }
 
-    fn take_all(&mut self, items: Vec<Item>, end: Offset) -> Changes {
+    fn finish_full_read(&mut self, items: Vec<Item>, end: Offset) -> Changes {
         self.next = Some(end);
         Changes { items, end, whole: true }
     }
 
-    fn take(
+    fn append_records(
         &self,
         at: Offset,
         records: &[Bytes],
@@ -130,15 +140,19 @@
         items: &mut Vec<Item>,
     ) -> Result<(), Error> {
         if end < at {
-            // Taken for news, an answer of some time ago would confirm what may have been replaced since.
-            return Err(Error::Malformed(format!("the partition ends at {end}, {at} was known")));
+            // An outdated response. It would confirm records that may have been replaced since.
+            return Err(Error::Malformed(format!(
+                "the partition ends at {end}, but {at} had been reached"
+            )));
         }
         if records.is_empty() && end > at {
-            return Err(Error::Malformed(format!("nothing from {at} on, though it ends at {end}")));
+            return Err(Error::Malformed(format!(
+                "no records from {at} on, although the partition ends at {end}"
+            )));
         }
         for (n, record) in records.iter().enumerate() {
             let offset = Offset(at.0 + n as u64);
-            match split(record) {
+            match split_record(record) {
                 Some((key, value)) => items.push(Item { key, value, offset }),
                 None => {
                     tracing::warn!(part = "store", event = "no-key", partition = %self.partition, %offset);
@@ -149,11 +163,11 @@
     }
 }
 
-/// A keyed record: the length of the key in one byte, the key, the value.
-fn split(record: &Bytes) -> Option<(String, Bytes)> {
+/// Splits a keyed record, which consists of the length of the key in one byte, the key and the value.
+fn split_record(record: &Bytes) -> Option<(String, Bytes)> {
     let len = usize::from(*record.first()?);
     let key = record.get(1..=len)?;
-    // A key that is no text is none of ours, and is kept readable for whoever logs it.
+    // A key that is not UTF-8 was not written by this program. It is made readable for logs.
     let key = String::from_utf8_lossy(key).into_owned();
     Some((key, record.slice(len + 1..)))
 }
--- a/crates/jacinthbeam-store/src/lib.rs
+++ b/crates/jacinthbeam-store/src/lib.rs
@@ -1,14 +1,15 @@
-//! Client of the platform's store: a log of topics and partitions, with conditional appends, keyed topics and groups.
+//! Client of the platform's store: a log of topics and partitions, with conditional appends, keyed topics
+//! and consumer groups.
 //!
-//! Everything that has to outlive a process is kept there. This crate knows what the store can do ([`Call`], [`Reply`],
-//! [`Error`]) and how to call it well: kept connections that notice silence, bounded waits, a bound on the rate of calls,
-//! backoff. How a call looks on the wire is told by a [`Wire`].
+//! The store holds all state that has to survive a restart. This crate defines its operations ([`Call`],
+//! [`Reply`], [`Error`]) and a client with persistent connections that detect dead peers, timeouts, a rate
+//! limit and backoff. The wire format is supplied as a [`Wire`].
 
 pub mod backoff;
 pub mod call;
 pub mod client;
 pub mod keyed;
-mod pace;
+mod rate_limit;
 
 pub use backoff::Backoff;
 pub use call::{Call, Error, Item, Page, Partition, Reply, Share, Wire};
