--- a/crates/jacinthbeam-connection/src/connection.rs
+++ b/crates/jacinthbeam-connection/src/connection.rs
@@ -1,4 +1,4 @@
-//! One HTTP/1.1 connection, closed as soon as its handle is dropped.
+//! An HTTP/1.1 client connection that is closed as soon as its handle is dropped.
 
 use std::{
     io,
@@ -13,98 +13,103 @@
 use hyper_util::rt::TokioIo;
 use tokio::{sync::oneshot, task::AbortHandle, time::timeout};
 
-use crate::socket::{Ending, Socket, Watch};
+use crate::socket::{IdleProbe, PeerClose, Socket};
 
-/// What a streamed request body may fail with.
+/// Error of a streamed request body.
 pub type BoxError = Box<dyn std::error::Error + Send + Sync>;
 
-/// How long the server has to close its end of a connection that was given up.
-const CLOSES_WITHIN: Duration = Duration::from_millis(500);
+/// Time for the server to close its end of an abandoned connection.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Told when a server has closed its end of a connection; dropped if that is never known.
+/// Notified when the server has closed its end of a connection. Dropped if that can't be determined.
 pub type Closed = oneshot::Sender<()>;
 
-/// Handle of a connection; dropping it closes the socket, whatever is in progress on it.
+/// Handle of a connection. Dropping it closes the socket, also while a request is in progress.
 #[derive(Debug)]
 pub struct Connection<B> {
-    /// Takes one request at a time.
+    /// Sends requests, one at a time.
     pub sender: SendRequest<B>,
-    /// Who is told, if the connection is dropped now, that the server has closed its end.
+    /// Notified if the connection is dropped and the server then closes its end. If `None`, dropping closes
+    /// the socket immediately.
     pub closed: Option<Closed>,
     driver: AbortHandle,
-    given_up: Option<oneshot::Sender<Closed>>,
-    watch: Watch,
+    abandon: Option<oneshot::Sender<Closed>>,
+    idle_probe: IdleProbe,
 }
 
 impl<B> Connection<B> {
-    /// Whether an idle connection can take a request: it is open, and nothing has arrived on it.
+    /// Whether an idle connection can be used for a request: it is open, and no bytes have arrived on it.
     pub fn is_quiet(&self) -> bool {
-        !self.sender.is_closed() && self.watch.is_quiet()
+        !self.sender.is_closed() && self.idle_probe.is_quiet()
     }
 }
 
 impl<B> Drop for Connection<B> {
     fn drop(&mut self) {
-        // hyper would read the rest of an abandoned answer and keep the socket. Closing it is the only way in
-        // HTTP/1.1 to tell the server that nobody waits, and no later request can meet the rest of that answer.
-        let told = match (self.closed.take(), self.given_up.take()) {
-            (Some(closed), Some(given_up)) if !closed.is_closed() => given_up.send(closed).is_ok(),
+        // hyper would read the rest of an abandoned response and keep the socket open. In HTTP/1.1, closing
+        // it is the only way to cancel the request at the server. It also ensures that no later request
+        // receives the rest of that response.
+        let handed_over = match (self.closed.take(), self.abandon.take()) {
+            (Some(closed), Some(abandon)) if !closed.is_closed() => abandon.send(closed).is_ok(),
             _ => false,
         };
-        if !told {
+        if !handed_over {
             self.driver.abort();
         }
     }
 }
 
-/// How to connect.
+/// Options of a new connection.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Options {
-    /// IP number of this host that the connection comes from. Default `None`: the system picks one.
+    /// Local IP address of the connection. Default `None`: chosen by the operating system.
     pub source: Option<IpAddr>,
-    /// Whether closing the connection resets it, which takes back what has not arrived. Default `false`.
+    /// Whether closing the connection resets it, which discards data that was written but has not arrived.
+    /// Default `false`.
     pub reset: bool,
 }
 
-/// Connects. `guard` is dropped when the socket is closed, not before.
+/// Connects to `addr`. `guard` is dropped after the socket is closed.
 pub async fn open<B, G>(options: Options, addr: SocketAddr, guard: G) -> io::Result<Connection<B>>
 where
     B: Body<Data = Bytes, Error = BoxError> + Send + 'static,
     G: Send + Unpin + 'static,
 {
     let socket = Socket::connect(options, addr).await?;
-    let watch = socket.watch();
-    let kept = Kept { ending: socket.ending(), guard };
+    let idle_probe = socket.idle_probe();
+    let resources = Resources { peer_close: socket.peer_close(), guard };
     let (sender, conn) = http1::handshake(TokioIo::new(socket)).await.map_err(io::Error::other)?;
-    let (given_up, is_given_up) = oneshot::channel();
-    let driver = tokio::spawn(drive(conn, is_given_up, kept)).abort_handle();
-    Ok(Connection { sender, closed: None, driver, given_up: Some(given_up), watch })
+    let (abandon, abandoned) = oneshot::channel();
+    let driver = tokio::spawn(drive(conn, abandoned, resources)).abort_handle();
+    Ok(Connection { sender, closed: None, driver, abandon: Some(abandon), idle_probe })
 }
 
-/// What outlives hyper's part of a connection. The order of the fields matters: the socket goes first, then the guard.
-struct Kept<G> {
-    ending: Ending,
+/// Held beyond the end of hyper's connection. The order of the fields matters: the socket must be closed
+/// before the guard is dropped.
+struct Resources<G> {
+    peer_close: PeerClose,
     #[allow(dead_code, reason = "held for its drop")]
     guard: G,
 }
 
-/// Runs a connection to its end.
+/// Drives a connection until it ends or is abandoned.
 ///
-/// One that is given up is closed for writing only, which a server can't tell from a closed one. Its own close then says that it
-/// has ended the request; without it, the place of the request would have to be held until long after.
+/// An abandoned connection is closed for writing only, which a server can't distinguish from a full close.
+/// When the server then closes its end, it has ended the request. Without this signal, the slot of the
+/// request would have to stay reserved for much longer.
 async fn drive<B, G>(
     conn: http1::Connection<TokioIo<Socket>, B>,
-    mut is_given_up: oneshot::Receiver<Closed>,
-    kept: Kept<G>,
+    mut abandoned: oneshot::Receiver<Closed>,
+    resources: Resources<G>,
 ) where
     B: Body<Data = Bytes, Error = BoxError> + Send + 'static,
 {
     let closed = {
         let conn = pin!(conn);
         tokio::select! {
-            // First, since hyper ends the connection too when it sees that nobody waits for the answer.
+            // Must be polled first: when the request is abandoned, hyper ends the connection as well.
             biased;
-            closed = &mut is_given_up => closed.ok(),
+            closed = &mut abandoned => closed.ok(),
             ended = conn => {
                 if let Err(err) = ended {
                     ::log::debug!("connection: ended: {err}");
@@ -114,8 +119,8 @@
         }
     };
     let Some(closed) = closed else { return };
-    if let Ok(true) = timeout(CLOSES_WITHIN, kept.ending.wait()).await {
-        // Whoever waited may have no use for it any more.
+    if let Ok(true) = timeout(CLOSE_TIMEOUT, resources.peer_close.wait()).await {
+        // The receiver may have been dropped.
         let _ = closed.send(());
     }
 }
--- a/crates/jacinthbeam-connection/src/headers.rs
+++ b/crates/jacinthbeam-connection/src/headers.rs
@@ -1,9 +1,10 @@
-//! Headers that speak of one connection only, and are kept off the next one.
+//! Hop-by-hop headers, which apply to a single connection and must not be forwarded.
 
 use http::{HeaderMap, HeaderName, header};
 
-/// They end at each connection. `expect` is among them since bodies are sent without waiting.
-const OF_ONE_CONNECTION: [HeaderName; 9] = [
+/// Headers that are never forwarded. `expect` is among them because request bodies are sent without waiting
+/// for `100 Continue`.
+const HOP_BY_HOP: [HeaderName; 9] = [
     header::CONNECTION,
     header::EXPECT,
     header::PROXY_AUTHENTICATE,
@@ -15,9 +16,10 @@
     HeaderName::from_static("keep-alive"),
 ];
 
-/// Takes them off, those that `connection` names included, but for those in `kept`.
+/// Removes hop-by-hop headers, and the headers named in `connection` unless they are in `kept`.
 ///
-/// Whoever could name the length of a body in `connection` would have the body read as the next request.
+/// `kept` prevents request smuggling: if a sender could have `content-length` removed by naming it in
+/// `connection`, the body would be read as the next request.
 pub fn strip(headers: &mut HeaderMap, kept: &[HeaderName]) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
@@ -29,7 +31,7 @@
     for name in named.iter().filter(|name| !kept.contains(name)) {
         headers.remove(name);
     }
-    for name in &OF_ONE_CONNECTION {
+    for name in &HOP_BY_HOP {
         headers.remove(name);
     }
 }
--- a/crates/jacinthbeam-connection/src/lib.rs
+++ b/crates/jacinthbeam-connection/src/lib.rs
@@ -1,8 +1,9 @@
-//! HTTP/1.1 connections of a client that wants to know what became of each request.
+//! HTTP/1.1 client connections that report whether a failed request may have reached the server.
 //!
-//! A [`Connection`] closes its socket as soon as its handle is dropped, so an abandoned request is cancelled and the rest of
-//! its answer can meet no other request. A [`Line`] carries one small exchange after the other over one kept connection.
-//! What is sent, and what an answer is worth, is up to the caller.
+//! A [`Connection`] closes its socket as soon as its handle is dropped, so that an abandoned request is
+//! cancelled and the rest of its response can't be read as the response to another one. A [`Line`] sends
+//! small requests one after the other over a single persistent connection. Content of requests and
+//! interpretation of responses are up to the caller.
 
 pub mod connection;
 pub mod headers;
--- a/crates/jacinthbeam-connection/src/line.rs
+++ b/crates/jacinthbeam-connection/src/line.rs
@@ -1,4 +1,4 @@
-//! One kept connection that carries one small exchange after the other, reopened after an error.
+//! A persistent connection for small requests, one after the other. It is reopened after an error.
 
 use std::{
     fmt,
@@ -15,12 +15,12 @@
 
 type LineBody = MapErr<Full<Bytes>, fn(std::convert::Infallible) -> BoxError>;
 
-/// Why an exchange got no whole answer.
+/// Why a request got no complete response.
 #[derive(Debug)]
 pub enum Error {
-    /// Nothing of the request was written.
+    /// The request was not sent.
     NotSent(String),
-    /// The request may have arrived; no whole answer came.
+    /// The request may have reached the server, but no complete response arrived.
     Lost(String),
 }
 
@@ -28,43 +28,52 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::NotSent(why) => write!(f, "the request was not sent: {why}"),
-            Self::Lost(why) => write!(f, "the request was sent but got no whole answer: {why}"),
+            Self::Lost(why) => {
+                write!(f, "the request was sent, but no complete response arrived: {why}")
+            }
         }
     }
 }
 
-/// Longest attempt to connect. A path that loses the first packet sends the next one after a second.
-const CONNECT_WITHIN: Duration = Duration::from_millis(1000);
+/// Timeout of an attempt to connect. If the first packet is lost, the operating system sends the next one
+/// after one second.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// A kept connection to one address. Exchanges wait for each other.
+/// A persistent connection to one address. An exchange, which is a request and its response, waits for the
+/// earlier ones.
 #[derive(Debug)]
 pub struct Line {
     addr: SocketAddr,
-    max_answer: usize,
-    how: connection::Options,
+    max_response_bytes: usize,
+    options: connection::Options,
     kept: Mutex<Option<Connection<LineBody>>>,
 }
 
 impl Line {
-    /// A line that is not connected yet. An answer's body may have up to `max_answer` bytes.
-    pub fn new(addr: SocketAddr, max_answer: usize) -> Self {
-        Self { addr, max_answer, how: connection::Options::default(), kept: Mutex::new(None) }
+    /// Creates a line without connecting. The body of a response may have up to `max_response_bytes` bytes.
+    pub fn new(addr: SocketAddr, max_response_bytes: usize) -> Self {
+        Self {
+            addr,
+            max_response_bytes,
+            options: connection::Options::default(),
+            kept: Mutex::new(None),
+        }
     }
 
-    /// Connects from this IP number of the host; the system picks one for `None`.
+    /// Connects from this local IP address, or from one chosen by the operating system if `None`.
     pub fn bound_to(mut self, source: Option<IpAddr>) -> Self {
-        self.how.source = source;
+        self.options.source = source;
         self
     }
 
-    /// Resets the connection when an exchange is given up. What was written and has not arrived is then lost for certain,
-    /// in place of arriving when a broken path heals.
+    /// Resets the connection when an exchange is abandoned. Data that was written but has not arrived is then
+    /// discarded, instead of arriving after the network has recovered.
     pub fn resetting(mut self) -> Self {
-        self.how.reset = true;
+        self.options.reset = true;
         self
     }
 
-    /// Sends a request and reads its whole answer; `timeout` covers the wait for the line too.
+    /// Sends a request and reads the complete response. `timeout` includes the wait for earlier exchanges.
     pub async fn exchange(
         &self,
         req: Request<Bytes>,
@@ -74,14 +83,15 @@
         let Ok(mut kept) = tokio::time::timeout_at(deadline, self.kept.lock()).await else {
             return Err(Error::NotSent("an earlier exchange took all the time".into()));
         };
-        // Taken out for the exchange: if this future is dropped, so is the connection.
+        // Taken out during the exchange, so that the connection is dropped together with this future.
         let reused = kept.take().filter(Connection::is_quiet);
         let (res, conn) = self.exchange_on(reused, req, deadline).await?;
         *kept = conn;
         Ok(res)
     }
 
-    /// As [`Line::exchange`], over a new connection, which is kept in place of the old one.
+    /// Like [`Line::exchange`], but over a new connection, without waiting for earlier exchanges. The new
+    /// connection replaces the old one unless another exchange is in progress.
     pub async fn exchange_anew(
         &self,
         req: Request<Bytes>,
@@ -95,7 +105,7 @@
         Ok(res)
     }
 
-    /// Connects if the line isn't connected. Returns whether it had to.
+    /// Connects unless the connection is open. Returns whether a new connection was made.
     pub async fn connect_if_closed(&self, timeout: Duration) -> Result<bool, Error> {
         let deadline = Instant::now() + timeout;
         let Ok(mut kept) = tokio::time::timeout_at(deadline, self.kept.lock()).await else {
@@ -109,8 +119,8 @@
         Ok(true)
     }
 
-    /// As [`Line::exchange`], but at once and over the connection that is open: nothing is sent if it was closed meanwhile, or if another
-    /// exchange is under way.
+    /// Like [`Line::exchange`], but only over the connection that is open, and without waiting. Sends nothing
+    /// if the connection has been closed or another exchange is in progress.
     pub async fn exchange_kept(
         &self,
         req: Request<Bytes>,
@@ -118,15 +128,15 @@
     ) -> Result<Response<Bytes>, Error> {
         let deadline = Instant::now() + timeout;
         let closed = || Error::NotSent("the connection was closed".into());
-        let busy = |_| Error::NotSent("another exchange is under way".into());
+        let busy = |_| Error::NotSent("another exchange is in progress".into());
         let mut kept = self.kept.try_lock().map_err(busy)?;
         let conn = kept.take().filter(Connection::is_quiet).ok_or_else(closed)?;
         match self.exchange_once(conn, self.prepare(req), deadline).await? {
-            Once::Answered(res, conn) => {
+            Attempt::Completed(res, conn) => {
                 *kept = conn;
                 Ok(res)
             }
-            Once::GivenBack(_) => Err(closed()),
+            Attempt::NotSent(_) => Err(closed()),
         }
     }
 
@@ -139,14 +149,14 @@
         let mut req = self.prepare(req);
         if let Some(conn) = reused {
             match self.exchange_once(conn, req, deadline).await? {
-                Once::Answered(res, conn) => return Ok((res, conn)),
-                Once::GivenBack(given_back) => req = given_back,
+                Attempt::Completed(res, conn) => return Ok((res, conn)),
+                Attempt::NotSent(unsent) => req = unsent,
             }
         }
         let conn = self.connect(deadline).await?;
         match self.exchange_once(conn, req, deadline).await? {
-            Once::Answered(res, conn) => Ok((res, conn)),
-            Once::GivenBack(_) => Err(Error::NotSent("the new connection was closed".into())),
+            Attempt::Completed(res, conn) => Ok((res, conn)),
+            Attempt::NotSent(_) => Err(Error::NotSent("the new connection was closed".into())),
         }
     }
 
@@ -160,8 +170,8 @@
     }
 
     async fn connect(&self, deadline: Instant) -> Result<Connection<LineBody>, Error> {
-        let by = deadline.min(Instant::now() + CONNECT_WITHIN);
-        match tokio::time::timeout_at(by, connection::open(self.how, self.addr, ())).await {
+        let by = deadline.min(Instant::now() + CONNECT_TIMEOUT);
+        match tokio::time::timeout_at(by, connection::open(self.options, self.addr, ())).await {
             Ok(Ok(conn)) => Ok(conn),
             Ok(Err(err)) => Err(Error::NotSent(format!("no connection to {}: {err}", self.addr))),
             Err(_) => Err(Error::NotSent(format!("no connection to {} in time", self.addr))),
@@ -173,33 +183,37 @@
         mut conn: Connection<LineBody>,
         req: Request<LineBody>,
         deadline: Instant,
-    ) -> Result<Once, Error> {
-        let late = |_| Error::Lost(format!("no answer from {} in time", self.addr));
+    ) -> Result<Attempt, Error> {
+        let late = |_| Error::Lost(format!("no response from {} in time", self.addr));
         let sent = tokio::time::timeout_at(deadline, conn.sender.try_send_request(req));
         let res = match sent.await.map_err(late)? {
             Ok(res) => res,
             Err(mut err) => {
                 return match err.take_message() {
-                    Some(req) => Ok(Once::GivenBack(req)),
+                    Some(req) => Ok(Attempt::NotSent(req)),
                     None => Err(Error::Lost(err.into_error().to_string())),
                 };
             }
         };
         let (head, body) = res.into_parts();
-        let whole = Limited::new(body, self.max_answer).collect();
-        let body = tokio::time::timeout_at(deadline, whole)
+        let complete = Limited::new(body, self.max_response_bytes).collect();
+        let body = tokio::time::timeout_at(deadline, complete)
             .await
             .map_err(late)?
-            .map_err(|err| Error::Lost(format!("answer cut short: {err}")))?
+            .map_err(|err| Error::Lost(format!("incomplete response: {err}")))?
             .to_bytes();
-        // An answer that came before the whole request was read leaves the connection in an unknown state.
+        // After a response that came before the request was read completely, the state of the connection is
+        // unknown.
         let ready = tokio::time::timeout_at(deadline, conn.sender.ready()).await;
         let conn = matches!(ready, Ok(Ok(()))).then_some(conn);
-        Ok(Once::Answered(Response::from_parts(head, body), conn))
+        Ok(Attempt::Completed(Response::from_parts(head, body), conn))
     }
 }
 
-enum Once {
-    Answered(Response<Bytes>, Option<Connection<LineBody>>),
-    GivenBack(Request<LineBody>),
+/// Result of sending a request over one connection.
+enum Attempt {
+    /// The response, and the connection if it can be reused.
+    Completed(Response<Bytes>, Option<Connection<LineBody>>),
+    /// The connection was closed before the request was sent.
+    NotSent(Request<LineBody>),
 }
--- a/crates/jacinthbeam-connection/src/socket.rs
+++ b/crates/jacinthbeam-connection/src/socket.rs
@@ -1,4 +1,4 @@
-//! A TCP socket that can be looked at from outside the task that runs it.
+//! A TCP socket that other tasks can inspect while one task reads and writes it.
 
 use std::{
     io::{self, ErrorKind, IoSlice},
@@ -19,38 +19,39 @@
 
 use crate::connection::Options;
 
-/// The socket, for the one task that reads and writes it.
+/// The socket, used by the task that drives the connection.
 #[derive(Debug)]
 pub(crate) struct Socket(Arc<TcpStream>);
 
-/// Looks at the socket of an idle connection. Does not keep it open.
+/// Checks the socket of an idle connection. Doesn't keep the socket open.
 #[derive(Debug)]
-pub(crate) struct Watch(Weak<TcpStream>);
+pub(crate) struct IdleProbe(Weak<TcpStream>);
 
-/// Keeps the socket open, to see how it ends.
+/// Keeps the socket open, to wait for the server to close its end.
 #[derive(Debug)]
-pub(crate) struct Ending(Arc<TcpStream>);
+pub(crate) struct PeerClose(Arc<TcpStream>);
 
-/// Bytes of an abandoned answer that are read on the way to its end.
-const MAX_REST: usize = 256 << 10;
+/// Maximum number of bytes of an abandoned response that are read and discarded to reach its end.
+const MAX_DISCARDED_BYTES: usize = 256 << 10;
 
-impl Ending {
-    /// Closes the socket for writing. Returns whether the server has closed its end, when it has, or when that will not be known.
+impl PeerClose {
+    /// Closes the socket for writing and waits for the server to close its end. Returns `true` when it has,
+    /// and `false` when that can't be determined.
     ///
-    /// A reset counts as unknown: it may come from something between the two ends.
+    /// A reset returns `false`, since a device between the two ends may have sent it.
     pub(crate) async fn wait(&self) -> bool {
         if SockRef::from(&*self.0).shutdown(Shutdown::Write).is_err() {
             return false;
         }
         let mut buf = [0; 4096];
-        let mut rest = 0;
-        while rest <= MAX_REST {
+        let mut discarded = 0;
+        while discarded <= MAX_DISCARDED_BYTES {
             if self.0.readable().await.is_err() {
                 return false;
             }
             match self.0.try_read(&mut buf) {
                 Ok(0) => return true,
-                Ok(len) => rest += len,
+                Ok(len) => discarded += len,
                 Err(err) if err.kind() == ErrorKind::WouldBlock => {}
                 Err(_) => return false,
             }
@@ -66,37 +67,43 @@
             Some(source) => connect_from(source, addr).await?,
         };
         stream.set_nodelay(true)?;
-        notice_silence(&SockRef::from(&stream))?;
+        enable_dead_peer_detection(&SockRef::from(&stream))?;
         if options.reset {
             SockRef::from(&stream).set_linger(Some(Duration::ZERO))?;
         }
         Ok(Self(Arc::new(stream)))
     }
 
-    pub(crate) fn watch(&self) -> Watch {
-        Watch(Arc::downgrade(&self.0))
+    pub(crate) fn idle_probe(&self) -> IdleProbe {
+        IdleProbe(Arc::downgrade(&self.0))
     }
 
-    pub(crate) fn ending(&self) -> Ending {
-        Ending(self.0.clone())
+    pub(crate) fn peer_close(&self) -> PeerClose {
+        PeerClose(self.0.clone())
     }
 }
 
-/// A connection may go silent for good while new ones work. Without probes a wait on it would last to the end of its
-/// timeout, which for a long poll is half a minute of missed changes; with them it ends after [`SILENT_FOR`] or so.
-fn notice_silence(socket: &SockRef<'_>) -> io::Result<()> {
-    let probes =
-        TcpKeepalive::new().with_time(PROBE_EVERY).with_interval(PROBE_EVERY).with_retries(2);
+/// Enables keepalive probes and a timeout for unacknowledged data.
+///
+/// A connection may stop working without an error while new ones work. Without probes, a request on it would
+/// last until its own timeout, which for a long poll means half a minute of missed changes. With them it
+/// fails after about [`DEAD_PEER_TIMEOUT`].
+fn enable_dead_peer_detection(socket: &SockRef<'_>) -> io::Result<()> {
+    let probes = TcpKeepalive::new()
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(2);
     socket.set_tcp_keepalive(&probes)?;
-    socket.set_tcp_user_timeout(Some(SILENT_FOR))
+    socket.set_tcp_user_timeout(Some(DEAD_PEER_TIMEOUT))
 }
 
-/// Pause between probes of a connection on which nothing comes. Whole seconds are all that the system counts in.
-const PROBE_EVERY: Duration = Duration::from_secs(1);
+/// Interval of keepalive probes on a connection that receives nothing. The operating system supports only
+/// whole seconds.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Bytes or probes unacknowledged for this long end a connection: some hundred round trips, and short enough that a change
-/// missed meanwhile can still act within its two seconds.
-const SILENT_FOR: Duration = Duration::from_millis(1200);
+/// Time after which unacknowledged data or probes end a connection: some hundred round trips, and short
+/// enough that a change missed meanwhile can still take effect within the required two seconds.
+const DEAD_PEER_TIMEOUT: Duration = Duration::from_millis(1200);
 
 async fn connect_from(source: IpAddr, addr: SocketAddr) -> io::Result<TcpStream> {
     let socket = if addr.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
@@ -104,17 +111,18 @@
     socket.connect(addr).await
 }
 
-impl Watch {
-    /// Whether the socket is open and nothing has arrived on it.
+impl IdleProbe {
+    /// Whether the socket is open and has nothing to read.
     ///
-    /// What has arrived on an idle connection is its end, or bytes that nobody asked for. The connection's task may
-    /// not have run since. A request sent now would be lost in the first case, though the server never saw it, and in
-    /// the second it could be given another one's answer. Asking the kernel leaves only what is still on its way.
+    /// An idle connection receives either its end or unsolicited bytes, and its task may not have processed
+    /// them yet. In the first case a request sent now would be lost, though the server never received it. In
+    /// the second case it could be matched with another request's response. The check queries the kernel, so
+    /// that it misses only what is still in transit.
     pub(crate) fn is_quiet(&self) -> bool {
         let Some(stream) = self.0.upgrade() else { return false };
         let mut buf = [MaybeUninit::uninit(); 1];
-        let seen = SockRef::from(&*stream).peek(&mut buf);
-        matches!(seen, Err(err) if err.kind() == ErrorKind::WouldBlock)
+        let peeked = SockRef::from(&*stream).peek(&mut buf);
+        matches!(peeked, Err(err) if err.kind() == ErrorKind::WouldBlock)
     }
 }
 
