--- a/crates/jacinthbeam-host/src/process/evacuation.rs
+++ b/crates/jacinthbeam-host/src/process/evacuation.rs
@@ -48,7 +48,7 @@
 impl Evacuations {
     /// Takes the operator's record of a domain. An evacuation was acknowledged at `bound` or later; that it is taken back was known
     /// `now`. Returns whether it is news.
-    pub fn take(
+    pub fn apply(
         &mut self,
         domain: FailureDomain,
         offset: Offset,
@@ -84,7 +84,7 @@
         let last = Offset(end.0.saturating_sub(1));
         let mut changed = false;
         for domain in missing {
-            changed |= self.take(domain, last, false, Leaving::LongAgo, now);
+            changed |= self.apply(domain, last, false, Leaving::LongAgo, now);
         }
         changed
     }
@@ -132,7 +132,7 @@
     }
 
     /// Takes what another host told at `at`. `bound` is what this host knew of the operator's records before. Returns whether any is new.
-    pub fn take_updates(
+    pub fn apply_updates(
         &mut self,
         updates: Vec<EvacuationUpdate>,
         bound: Leaving,
@@ -142,7 +142,7 @@
         for EvacuationUpdate { domain, offset, evacuated, age } in updates {
             let told = age.and_then(|age| at.checked_sub(age));
             let since = bound.closer(Leaving::after(told));
-            changed |= self.take(domain, offset, evacuated, since, told.unwrap_or(at));
+            changed |= self.apply(domain, offset, evacuated, since, told.unwrap_or(at));
         }
         changed
     }
--- a/crates/jacinthbeam-host/src/process/map_history.rs
+++ b/crates/jacinthbeam-host/src/process/map_history.rs
@@ -39,7 +39,7 @@
     }
 
     /// Takes a map if it is newer. Returns whether it is.
-    pub(super) fn take(&mut self, map: Map) -> bool {
+    pub(super) fn apply(&mut self, map: Map) -> bool {
         if !self.newest.is_older_than(&map) {
             return false;
         }
@@ -58,8 +58,8 @@
     }
 
     /// Takes what another host tells. Returns whether it is newer.
-    pub(super) fn take_changes(&mut self, changes: &MapDelta) -> bool {
-        self.newest.apply(changes).is_some_and(|map| self.take(map))
+    pub(super) fn apply_delta(&mut self, changes: &MapDelta) -> bool {
+        self.newest.apply(changes).is_some_and(|map| self.apply(map))
     }
 
     /// What to tell a host that has the map `known`, if that is not the newest.
--- a/crates/jacinthbeam-host/src/process/mod.rs
+++ b/crates/jacinthbeam-host/src/process/mod.rs
@@ -16,11 +16,11 @@
 pub mod peers;
 pub mod reach;
 pub mod replica;
+pub mod request_log;
 mod server_lines;
 mod serving;
 mod sockets;
 pub mod status;
-pub mod stories;
 pub mod traffic;
 pub mod usage;
 
--- a/crates/jacinthbeam-host/src/process/replica/listing.rs
+++ b/crates/jacinthbeam-host/src/process/replica/listing.rs
@@ -67,7 +67,7 @@
         now: Instant,
     ) -> bool {
         let bound = Leaving::after(self.config_as_of);
-        self.evacuations.take(domain, offset, evacuated, bound, now)
+        self.evacuations.apply(domain, offset, evacuated, bound, now)
     }
 
     /// Ends the evacuations that a complete list lacks. Returns whether there were any.
--- a/crates/jacinthbeam-host/src/process/replica/mod.rs
+++ b/crates/jacinthbeam-host/src/process/replica/mod.rs
@@ -243,7 +243,7 @@
     /// Applies an ownership map. Returns whether it is newer than the known one.
     pub fn apply_map(&mut self, service: ServiceName, map: Map) -> bool {
         if let Some(known) = self.maps.get_mut(&service) {
-            return known.take(map);
+            return known.apply(map);
         }
         self.maps.insert(service, MapHistory::new(map));
         true
@@ -254,7 +254,7 @@
             MapUpdate::Whole(map) => self.apply_map(service, map),
             // A delta against a map that this host has replaced meanwhile can't be applied; the next request names the present one.
             MapUpdate::Changes(changes) => {
-                self.maps.get_mut(&service).is_some_and(|known| known.take_changes(&changes))
+                self.maps.get_mut(&service).is_some_and(|known| known.apply_delta(&changes))
             }
         }
     }
@@ -320,7 +320,7 @@
             changed.config = self.apply_config(cfg);
         }
         let operator_bound = Leaving::after(self.config_as_of);
-        let evacuations = self.evacuations.take_updates(update.evacuations, operator_bound, at);
+        let evacuations = self.evacuations.apply_updates(update.evacuations, operator_bound, at);
         if let Some(as_of) = update.config_age.and_then(|age| at.checked_sub(age)) {
             self.mark_config_current(as_of);
         }
--- a/crates/jacinthbeam-host/src/process/stories.rs
+++ b/crates/jacinthbeam-host/src/process/request_log.rs
@@ -25,12 +25,12 @@
 
 /// What the lines of all requests share.
 #[derive(Debug)]
-pub struct Stories {
+pub struct RequestLog {
     sends: RefCell<Quota>,
     ends: RefCell<Quota>,
 }
 
-impl Default for Stories {
+impl Default for RequestLog {
     fn default() -> Self {
         let quota = || RefCell::new(Quota::new(PER_SECOND));
         Self { sends: quota(), ends: quota() }
@@ -76,7 +76,7 @@
     pub servers_age: Option<Duration>,
 }
 
-impl Stories {
+impl RequestLog {
     /// Tells of a send. `same` gives the fingerprint of the request, which is worked out where its line has it: if nobody knows
     /// what became of it, it may be the request that ended its server, and will come again as another attempt.
     pub fn on_sent(
--- a/crates/jacinthbeam-host/src/process/traffic.rs
+++ b/crates/jacinthbeam-host/src/process/traffic.rs
@@ -22,7 +22,7 @@
 use crate::{
     Settings, Wire,
     connection::{Pool, accept::Phase},
-    process::{broken::Broken, metrics::Counters, stories::Stories, usage},
+    process::{broken::Broken, metrics::Counters, request_log::RequestLog, usage},
     version::{Freshness, View},
 };
 
@@ -42,8 +42,8 @@
     pub counters: Arc<Counters>,
     /// What requests count against their teams.
     pub usage: usage::Counted,
-    /// Tells the stories of requests.
-    pub stories: Stories,
+    /// Logs sends and refusals of requests.
+    pub request_log: RequestLog,
     /// Bytes of request bodies that are held.
     pub body_bytes: Cell<usize>,
     view: watch::Receiver<Arc<View>>,
@@ -118,7 +118,7 @@
             clock,
             counters,
             usage,
-            stories: Stories::default(),
+            request_log: RequestLog::default(),
             body_bytes: Cell::new(0),
             view,
             freshness,
@@ -199,7 +199,7 @@
     }
 
     /// The service of the next request on a route.
-    pub fn deal(&self, route: &Route) -> Option<ServiceName> {
+    pub fn next_service(&self, route: &Route) -> Option<ServiceName> {
         match &route.target {
             Target::Service(service) => Some(service.clone()),
             Target::Split(parts) => {
@@ -250,7 +250,7 @@
     }
 
     /// Whether an owner may be sent a request of this rank now.
-    pub fn lets_in(&self, owner: &ServerId, rank: u32) -> bool {
+    pub fn admits(&self, owner: &ServerId, rank: u32) -> bool {
         self.gate(owner).is_none_or(|gate| gate.admits(rank, fastrand::f64()))
     }
 
@@ -303,7 +303,7 @@
     }
 
     /// Tells the control thread of a server that ended under a request, or that a request is cleared of that.
-    pub fn tell_crash(&self, fact: Fact) {
+    pub fn report_fact(&self, fact: Fact) {
         if self.crashes.send(fact).is_err() {
             tracing::debug!(part = "crash", event = "not-told");
         }
@@ -327,7 +327,7 @@
             return;
         }
         for fact in self.recent.borrow().facts_for(&suspects) {
-            self.tell_crash(fact);
+            self.report_fact(fact);
         }
     }
 
--- a/crates/jacinthbeam-host/src/request/crash.rs
+++ b/crates/jacinthbeam-host/src/request/crash.rs
@@ -127,7 +127,7 @@
             |request: &Fingerprint| view.suspects.crashed_servers(request, self.caller) > 0;
         if let Some(request) = request.filter(is_suspect) {
             let outcome = Outcome::Succeeded { caller: self.caller };
-            self.traffic.tell_crash(Fact { request, outcome, at: self.traffic.now() });
+            self.traffic.report_fact(Fact { request, outcome, at: self.traffic.now() });
         }
     }
 
@@ -171,7 +171,7 @@
         |at: Instant| leaving.is_some_and(|since| since >= now.saturating_duration_since(at));
     for Running { request, caller, at } in running.into_iter().filter(|r| !had_said(r.at)) {
         let outcome = Outcome::Crashed { server: server.id.clone(), caller };
-        traffic.tell_crash(Fact { request, outcome, at });
+        traffic.report_fact(Fact { request, outcome, at });
     }
     !had_said(now)
 }
--- a/crates/jacinthbeam-host/src/request/end.rs
+++ b/crates/jacinthbeam-host/src/request/end.rs
@@ -13,7 +13,7 @@
     refuse::{OWNER_RETRY_DELAY, not_run, refuse},
 };
 use crate::{
-    process::stories::Basis,
+    process::request_log::Basis,
     send_outcome::{Lost, SendOutcome},
 };
 
--- a/crates/jacinthbeam-host/src/request/job.rs
+++ b/crates/jacinthbeam-host/src/request/job.rs
@@ -18,7 +18,7 @@
     send::{self, BufferedRequest},
 };
 use crate::{
-    process::{stories, traffic::Traffic, usage::Use},
+    process::{request_log, traffic::Traffic, usage::Use},
     send_outcome::{Lost, SendOutcome},
     version::View,
 };
@@ -45,7 +45,7 @@
 
 impl Job {
     pub(super) fn log_send(&self, view: &View, server: &Server, number: u32, sent: &SendOutcome) {
-        let send = stories::Send {
+        let send = request_log::Send {
             id: &self.request.id,
             route: &self.route.name,
             service: &self.service,
@@ -56,7 +56,13 @@
             caller: self.caller,
         };
         let compute_fingerprint = || fingerprint::of(&self.request);
-        self.traffic.stories.on_sent(self.traffic.now(), &send, view, sent, compute_fingerprint);
+        self.traffic.request_log.on_sent(
+            self.traffic.now(),
+            &send,
+            view,
+            sent,
+            compute_fingerprint,
+        );
     }
 
     /// Crash tracking of this request.
--- a/crates/jacinthbeam-host/src/request/refuse.rs
+++ b/crates/jacinthbeam-host/src/request/refuse.rs
@@ -9,7 +9,7 @@
 
 use super::{answer, body};
 use crate::{
-    process::{stories::Basis, traffic::Traffic},
+    process::{request_log::Basis, traffic::Traffic},
     send_outcome::NotRun,
 };
 
@@ -57,7 +57,7 @@
     received: Instant,
     basis: impl FnOnce() -> Basis<'a>,
 ) -> Response<Full<Bytes>> {
-    traffic.stories.on_refused(traffic.now(), id, route, refusal, received, basis);
+    traffic.request_log.on_refused(traffic.now(), id, route, refusal, received, basis);
     traffic.counters.on_refusal(refusal);
     answer::refused(&traffic.wire, id, refusal)
 }
--- a/crates/jacinthbeam-host/src/request/serve.rs
+++ b/crates/jacinthbeam-host/src/request/serve.rs
@@ -27,7 +27,7 @@
 };
 use crate::{
     connection::accept::CallerAddr,
-    process::{stories::Basis, traffic::Traffic, usage::Use},
+    process::{request_log::Basis, traffic::Traffic, usage::Use},
     send_outcome::{Lost, NotRun, SendOutcome},
     version::View,
     wire::HeaderError,
@@ -130,7 +130,7 @@
     let owner = owner.map(|owner| owner.server);
     let rank = job.route.priority;
     job.traffic.on_keyed_request(&job.service, key, owner.as_ref(), rank);
-    owner.is_none_or(|owner| job.traffic.lets_in(&owner, rank))
+    owner.is_none_or(|owner| job.traffic.admits(&owner, rank))
 }
 
 fn find_route(cfg: &Config, parts: &http::request::Parts) -> Option<Arc<Route>> {
@@ -140,7 +140,7 @@
 }
 
 fn pick_service(traffic: &Traffic, cfg: &Config, route: &Route) -> Option<(ServiceName, Service)> {
-    let name = traffic.deal(route)?;
+    let name = traffic.next_service(route)?;
     let service = cfg.services.get(&name)?.clone();
     Some((name, service))
 }
--- a/crates/jacinthbeam-host/tests/evacuation.rs
+++ b/crates/jacinthbeam-host/tests/evacuation.rs
@@ -145,13 +145,13 @@
 fn a_whole_list_without_the_record_ends_an_evacuation() {
     let now = Instant::now();
     let mut evacuations = Evacuations::default();
-    let take = |of: &mut Evacuations, name, offset| {
-        of.take(domain(name), Offset(offset), true, Leaving::Since(now), now)
+    let apply = |of: &mut Evacuations, name, offset| {
+        of.apply(domain(name), Offset(offset), true, Leaving::Since(now), now)
     };
-    assert!(take(&mut evacuations, "a", 3) && take(&mut evacuations, "b", 4));
+    assert!(apply(&mut evacuations, "a", 3) && apply(&mut evacuations, "b", 4));
     assert!(evacuations.retain_listed(&[domain("b")], Offset(9), now));
     assert_eq!(evacuations.since(&domain("a")), None);
     assert_eq!(evacuations.returned(&domain("a")), Some(now));
     assert!(evacuations.since(&domain("b")).is_some());
-    assert!(!take(&mut evacuations, "a", 3), "a late record brings it back");
+    assert!(!apply(&mut evacuations, "a", 3), "a late record brings it back");
 }
