--- a/crates/jacinthbeam-host/src/process/mod.rs
+++ b/crates/jacinthbeam-host/src/process/mod.rs
@@ -1,7 +1,7 @@
-//! What lives as long as the process: its threads, and what they keep.
+//! The threads of the process and their state.
 //!
-//! One thread controls: it follows the store, takes part in granting keys, and publishes a [`View`] at each change. The other
-//! serves callers with the view that is current. Nothing on the traffic thread waits for the control thread.
+//! The control thread follows the store, takes part in granting keys, and publishes a [`View`] at each change. The traffic thread
+//! serves callers by the current view and never waits for the control thread.
 
 pub mod broken;
 pub mod clock;
@@ -54,13 +54,13 @@
 /// Why a host did not start.
 #[derive(Debug)]
 pub enum Error {
-    /// An address can't be listened at.
+    /// A listening socket can't be bound.
     Bind {
-        /// What the address is for.
+        /// Purpose of the socket.
         what: &'static str,
         /// The address.
         addr: SocketAddr,
-        /// Why not.
+        /// The cause.
         err: io::Error,
     },
     /// A thread can't be started.
@@ -81,12 +81,12 @@
 impl std::error::Error for Error {}
 
 impl Handle {
-    /// The settings that the host runs with. Ports that were 0 are those that were bound.
+    /// The settings that the host runs with. Each port 0 is replaced by the port that was bound.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// Begins to stop: no new callers, running requests are answered. Returns at once.
+    /// Starts a graceful shutdown: no new callers, requests in flight are answered. Returns immediately; later calls have no effect.
     pub fn stop(&self) {
         self.phase.send_if_modified(|phase| {
             let first = *phase == Phase::Serving;
@@ -97,7 +97,7 @@
         });
     }
 
-    /// Waits until the host has stopped.
+    /// Waits until both threads have exited.
     pub fn join(self) {
         for thread in self.threads {
             if thread.join().is_err() {
@@ -107,7 +107,7 @@
     }
 }
 
-/// Starts a host. Each port 0 of `settings` stands for any free port; [`Handle::settings`] tells which.
+/// Starts a host. For each port 0 of `settings`, any free port is bound; [`Handle::settings`] returns which.
 pub fn spawn(mut settings: Settings, wire: Wire) -> Result<Handle, Error> {
     let sockets = Sockets::bind(&mut settings)?;
     let clock: Arc<dyn Clock> = Arc::new(clock::SuspendClock::new());
@@ -168,7 +168,7 @@
     Ok(Handle { settings, phase, threads })
 }
 
-/// Starts a thread with a runtime of its own.
+/// Starts a thread that runs `main` on a single-threaded runtime of its own.
 fn run<F: Future<Output = ()>>(
     name: &'static str,
     main: impl FnOnce() -> F + Send + 'static,
--- a/crates/jacinthbeam-host/src/process/traffic.rs
+++ b/crates/jacinthbeam-host/src/process/traffic.rs
@@ -1,4 +1,4 @@
-//! What the traffic thread keeps for as long as the process lives.
+//! State of the traffic thread, which lasts as long as the process.
 
 use std::{
     cell::{Cell, RefCell},
@@ -26,25 +26,25 @@
     version::{Freshness, View},
 };
 
-/// Owners that may be sent a part of what is asked of them, and until when that stands.
+/// Admission gates of overloaded owners, each with the time at which it expires.
 pub type Gates = BTreeMap<ServerId, (Instant, Gate)>;
 
-/// State of the traffic thread. One thread only, so plain cells do.
+/// State of the traffic thread. Only that thread accesses it, so plain cells suffice.
 #[derive(Debug)]
 pub struct Traffic {
-    /// Where this host stands.
+    /// The settings of this host.
     pub settings: Settings,
-    /// How requests look on the wire.
+    /// Conversions to and from the platform's wire format.
     pub wire: Wire,
-    /// A clock that counts suspension, so that no deadline is stretched by one.
+    /// A clock that keeps counting while the machine is suspended, so that a suspension extends no deadline.
     pub clock: Arc<dyn Clock>,
-    /// Counts for the metrics.
+    /// Instruments of the metrics.
     pub counters: Arc<Counters>,
-    /// What requests count against their teams.
+    /// Usage that requests are charged to their teams.
     pub usage: usage::Counted,
     /// Logs sends and refusals of requests.
     pub request_log: RequestLog,
-    /// Bytes of request bodies that are held.
+    /// Bytes of request bodies that are buffered.
     pub body_bytes: Cell<usize>,
     view: watch::Receiver<Arc<View>>,
     freshness: watch::Receiver<Freshness>,
@@ -53,62 +53,63 @@
     crashes: mpsc::UnboundedSender<Fact>,
     servers: RefCell<BTreeMap<ServerId, Rc<ServerState>>>,
     budgets: RefCell<BTreeMap<ServiceName, RetryBudget>>,
-    dealers: RefCell<BTreeMap<String, WeightedRoundRobin>>,
+    splits: RefCell<BTreeMap<String, WeightedRoundRobin>>,
     reports: RefCell<BTreeMap<ServiceName, LoadReport>>,
-    recent: RefCell<RecentSuccesses>,
+    recent_successes: RefCell<RecentSuccesses>,
     prober: RefCell<Prober>,
-    /// The suspects that the recent answers were last compared with.
-    compared: RefCell<Arc<Suspects>>,
+    /// The suspects that the recent successes were last checked against.
+    checked_suspects: RefCell<Arc<Suspects>>,
 }
 
-/// What this host has to do with one backend server.
+/// What this host keeps for one backend server.
 #[derive(Debug)]
 pub struct ServerState {
-    /// Connections.
+    /// Connections to it.
     pub pool: Pool,
-    /// Observations.
+    /// Statistics that the choice of a server is based on.
     pub stats: RefCell<ServerStats>,
-    /// Another server has answered at the address, so that this one has ended.
+    /// Whether another server has answered at its address, which means that this one has ended.
     pub ended: Cell<bool>,
-    /// Requests whose connections to it broke.
+    /// Requests whose connections to it ended without a response.
     pub broken: Broken,
-    /// Requests of this host that it got while it was cold.
+    /// Limits the rate of requests from this host while the server is cold.
     pub pacer: Cell<Pacer>,
 }
 
-/// Part of a server's connections that all hosts together use. The rest is for grants, and for hosts that come and go.
-const CONNECTIONS_USED: f64 = 0.8;
+/// Share of a server's connections that the hosts together use for requests. The rest is reserved for grants and for changes in the
+/// number of hosts.
+const REQUEST_CONNECTION_SHARE: f64 = 0.8;
 
-/// A host may have this many connections to a server in any case.
-const LEAST_CONNECTIONS: u32 = 2;
+/// A host may always open this many connections to a server, however many hosts share it.
+const MIN_CONNECTIONS: u32 = 2;
 
-/// What the thread is told at its start.
+/// What the state of the thread is made from.
 #[derive(Debug)]
 pub struct Start {
-    /// Where this host stands.
+    /// The settings of this host.
     pub settings: Settings,
-    /// How requests look on the wire.
+    /// Conversions to and from the platform's wire format.
     pub wire: Wire,
-    /// A clock that counts suspension.
+    /// A clock that keeps counting while the machine is suspended.
     pub clock: Arc<dyn Clock>,
-    /// Counts for the metrics.
+    /// Instruments of the metrics.
     pub counters: Arc<Counters>,
-    /// What requests count against their teams.
+    /// Usage that requests are charged to their teams.
     pub usage: usage::Counted,
-    /// What is known, as it changes.
+    /// The current view.
     pub view: watch::Receiver<Arc<View>>,
-    /// How far what is known reaches.
+    /// How current the view is.
     pub freshness: watch::Receiver<Freshness>,
-    /// How far a stop has come.
+    /// Phase of the shutdown.
     pub phase: watch::Receiver<Phase>,
-    /// What busy owners may be sent, as it changes.
+    /// Admission gates of overloaded owners.
     pub gates: watch::Receiver<Gates>,
-    /// Takes what is seen of servers that ended.
+    /// Receives facts about server crashes that this host observes.
     pub crashes: mpsc::UnboundedSender<Fact>,
 }
 
 impl Traffic {
-    /// State of a process that has served nothing yet.
+    /// State of a process that has served no request yet.
     pub fn new(start: Start) -> Self {
         let Start { settings, wire, clock, counters, usage, .. } = start;
         let Start { view, freshness, phase, gates, crashes, .. } = start;
@@ -127,60 +128,61 @@
             crashes,
             servers: RefCell::default(),
             budgets: RefCell::default(),
-            dealers: RefCell::default(),
+            splits: RefCell::default(),
             reports: RefCell::default(),
-            recent: RefCell::default(),
+            recent_successes: RefCell::default(),
             prober: RefCell::default(),
-            compared: RefCell::default(),
+            checked_suspects: RefCell::default(),
         }
     }
 
-    /// Now.
+    /// Current time of the clock.
     pub fn now(&self) -> Instant {
         self.clock.now()
     }
 
-    /// What is known now.
+    /// The current view.
     pub fn view(&self) -> Arc<View> {
         self.view.borrow().clone()
     }
 
-    /// Whether the configuration may be another than the one in force: a newer one may have been kept so long ago that it must act.
+    /// Whether the configuration of this host may be stale: a newer one may have been stored so long ago that it has to be in force.
     ///
-    /// A caller takes it as final that there is no route for its request. From a host that hears late, or has no time to take what it
-    /// heard, that is false for a route that was just added, and the request is lost. Told to come back, the caller reaches another host
-    /// or a newer configuration. Asked on this thread and by its own clock, so that it holds also while the other one is held up.
+    /// Callers treat "no route" as a final answer. A host whose updates arrive late, or that has no time to apply them, would give that
+    /// answer for a route that was just added, and the request would be lost. A caller that is asked to retry reaches another host or a
+    /// newer configuration. The check runs on the traffic thread and its own clock, so that it also works while the control thread is
+    /// stalled.
     pub fn config_may_be_old(&self) -> bool {
         let as_of = self.freshness.borrow().config;
         let age = as_of.map(|at| self.now().saturating_duration_since(at));
         age.is_none_or(|age| age >= self.settings.config_within)
     }
 
-    /// Whether servers may have left `drain_within` ago and this host has had no time to hear of it.
+    /// Whether the control thread is stalled for so long that servers may have left `drain_within` ago without this host knowing.
     pub fn is_stalled(&self, drain_within: Duration) -> bool {
         self.freshness.borrow().is_stalled(self.now(), drain_within)
     }
 
-    /// How old what is known of the servers is; `None` if nothing is known.
+    /// Age of the list of servers; `None` if there is none yet.
     pub fn servers_age(&self) -> Option<Duration> {
         let as_of = self.freshness.borrow().servers;
         as_of.map(|at| self.now().saturating_duration_since(at))
     }
 
-    /// Whether this process is about to stop, so that no request may wait for anything.
+    /// Whether this process is shutting down, so that no request may wait for anything.
     pub fn is_stopping(&self) -> bool {
         *self.phase.borrow() > Phase::Serving
     }
 
-    /// Waits until something else is known, up to `most`.
-    pub async fn view_changed(&self, most: Duration) {
+    /// Waits until the view changes, up to `timeout`.
+    pub async fn view_changed(&self, timeout: Duration) {
         let mut view = self.view.clone();
         view.mark_unchanged();
-        // Its sender lives as long as the process; an error here means that the process is about to end.
-        let _ = tokio::time::timeout(most, view.changed()).await;
+        // The sender lives as long as the process; an error here means that the process is about to exit.
+        let _ = tokio::time::timeout(timeout, view.changed()).await;
     }
 
-    /// State of a server, made at its first use.
+    /// State of a server, created at its first use.
     pub fn server(&self, server: &Server) -> Rc<ServerState> {
         let mut servers = self.servers.borrow_mut();
         let new = || {
@@ -192,29 +194,29 @@
         servers.entry(server.id.clone()).or_insert_with(new).clone()
     }
 
-    /// Connections that this host may have to one server of a service.
-    pub fn most_connections(&self, of_service: u32, hosts: u32) -> u32 {
-        let share = f64::from(of_service) * CONNECTIONS_USED / f64::from(hosts.max(1));
-        (share as u32).max(LEAST_CONNECTIONS)
+    /// Maximum number of connections of this host to one server, given the limit of its service and the number of hosts.
+    pub fn most_connections(&self, service_limit: u32, hosts: u32) -> u32 {
+        let share = f64::from(service_limit) * REQUEST_CONNECTION_SHARE / f64::from(hosts.max(1));
+        (share as u32).max(MIN_CONNECTIONS)
     }
 
-    /// The service of the next request on a route.
+    /// The service that the next request on a route goes to; a split route alternates between services by weight.
     pub fn next_service(&self, route: &Route) -> Option<ServiceName> {
         match &route.target {
             Target::Service(service) => Some(service.clone()),
             Target::Split(parts) => {
-                let mut dealers = self.dealers.borrow_mut();
-                dealers.entry(route.name.clone()).or_default().next(parts)
+                let mut splits = self.splits.borrow_mut();
+                splits.entry(route.name.clone()).or_default().next(parts)
             }
         }
     }
 
-    /// Counts a request of a caller for a service.
+    /// Counts a request of a caller for a service; the retry budget is a share of these.
     pub fn on_request(&self, service: &ServiceName, hosts: u32) {
         self.with_budget(service, hosts, |budget, now| budget.on_request(now));
     }
 
-    /// Counts a request for a key, which its owner may be sent or not.
+    /// Counts a request for a key in the next load report, whether or not it is then sent to the owner of the key.
     pub fn on_keyed_request(
         &self,
         service: &ServiceName,
@@ -231,13 +233,14 @@
         }
     }
 
-    /// Notes how many requests are at each owner of a keyed service, for the next report.
+    /// Records the number of requests in flight at each owner of a keyed service in the next load report.
     pub fn count_in_flight(&self) {
         let view = self.view();
         let servers = self.servers.borrow();
         let mut reports = self.reports.borrow_mut();
         for (service, map) in &view.maps {
-            let owners = map.assignments().iter().filter_map(|held| held.owner.as_ref());
+            let owners =
+                map.assignments().iter().filter_map(|assignment| assignment.owner.as_ref());
             for owner in owners {
                 let Some(state) = servers.get(&owner.server) else { continue };
                 let in_flight = state.stats.borrow().in_flight();
@@ -249,32 +252,32 @@
         }
     }
 
-    /// Whether an owner may be sent a request of this rank now.
+    /// Whether the gate of an owner, if any, admits a request of this rank now. Decided at random in the rank that is admitted in part.
     pub fn admits(&self, owner: &ServerId, rank: u32) -> bool {
         self.gate(owner).is_none_or(|gate| gate.admits(rank, fastrand::f64()))
     }
 
-    /// What an owner may be sent now; `None` if that is everything.
+    /// Admission gate of an owner; `None` if it admits every request.
     pub fn gate(&self, owner: &ServerId) -> Option<Gate> {
         let gates = self.gates.borrow();
         let (until, gate) = gates.get(owner)?;
         (self.now() < *until).then_some(*gate)
     }
 
-    /// Requests that this host has at a server.
+    /// Requests of this host in flight at a server.
     pub fn in_flight(&self, server: &ServerId) -> u32 {
         let servers = self.servers.borrow();
         servers.get(server).map_or(0, |state| state.stats.borrow().in_flight())
     }
 
-    /// Whether one more repeat is within the budget; takes it if so.
+    /// Whether the retry budget of a service allows one more retry. If so, the retry is charged to the budget.
     pub fn may_repeat(&self, service: &ServiceName, hosts: u32) -> bool {
-        let (may, left) = self.with_budget(service, hosts, |budget, now| {
-            let may = budget.take(now);
-            (may, budget.left(now))
+        let (allowed, left) = self.with_budget(service, hosts, |budget, now| {
+            let allowed = budget.take(now);
+            (allowed, budget.left(now))
         });
-        self.counters.on_repeat(service, may, left);
-        may
+        self.counters.on_repeat(service, allowed, left);
+        allowed
     }
 
     fn with_budget<R>(
@@ -290,48 +293,49 @@
         f(budget, self.now())
     }
 
-    /// Notes that a server of a keyed service gave an answer.
+    /// Counts an answer of a server of a keyed service in the next load report.
     pub fn on_keyed_answer(&self, service: &ServiceName, server: &ServerId) {
         let mut reports = self.reports.borrow_mut();
-        let work = reports.entry(service.clone()).or_default().servers.entry(server.clone());
-        work.or_default().answers += 1;
+        let report = reports.entry(service.clone()).or_default().servers.entry(server.clone());
+        report.or_default().answers += 1;
     }
 
-    /// The counts since the last call.
+    /// Takes the load reports: the counts since the last call.
     pub fn take_reports(&self) -> BTreeMap<ServiceName, LoadReport> {
         std::mem::take(&mut self.reports.borrow_mut())
     }
 
-    /// Tells the control thread of a server that ended under a request, or that a request is cleared of that.
+    /// Sends a fact to the control thread: a server crashed while it had a request in flight, or a suspected request was answered.
     pub fn report_fact(&self, fact: Fact) {
         if self.crashes.send(fact).is_err() {
             tracing::debug!(part = "crash", event = "not-told");
         }
     }
 
-    /// Notes that a request of a caller ran to a good end.
+    /// Records that a request of a caller was answered successfully.
     pub fn on_good_answer(&self, head: HeadDigest, body: Bytes, caller: IpAddr) {
-        self.recent.borrow_mut().add(head, body, caller, self.now());
+        self.recent_successes.borrow_mut().add(head, body, caller, self.now());
     }
 
-    /// Whether an attempt of a request on probation may be sent, given when a server last crashed under it. It counts as sent.
+    /// Whether a probe of a suspected request may be sent, given when a server last crashed under it. If so, it counts as sent.
     pub fn may_probe(&self, request: Fingerprint, rank: Rank, last: Instant) -> bool {
         let since = self.now().saturating_duration_since(last);
         self.prober.borrow_mut().admit(request, rank, since, SystemTime::now())
     }
 
-    /// Clears requests that were answered here before this host heard that servers had crashed under them.
+    /// Reports successes of suspected requests that this host answered before it learnt of the crashes. Does nothing until the
+    /// suspects change.
     pub fn clear_answered(&self) {
         let suspects = self.view().suspects.clone();
-        if Arc::ptr_eq(&self.compared.replace(suspects.clone()), &suspects) {
+        if Arc::ptr_eq(&self.checked_suspects.replace(suspects.clone()), &suspects) {
             return;
         }
-        for fact in self.recent.borrow().facts_for(&suspects) {
+        for fact in self.recent_successes.borrow().facts_for(&suspects) {
             self.report_fact(fact);
         }
     }
 
-    /// Forgets servers that are gone, and closes connections that were idle for too long.
+    /// Drops the state of servers that are gone, and closes connections that were idle for too long.
     pub fn tidy(&self) {
         let (view, now) = (self.view(), self.now());
         let mut servers = self.servers.borrow_mut();
@@ -342,15 +346,15 @@
         });
     }
 
-    /// What was seen of each server, for the dump.
+    /// Statistics and number of open connections of each server, for `/dump`.
     pub fn seen(&self) -> Vec<(ServerId, ServerStats, u32)> {
         let servers = self.servers.borrow();
-        let seen = |state: &ServerState| (state.stats.borrow().clone(), state.pool.open_count());
+        let stats = |state: &ServerState| (state.stats.borrow().clone(), state.pool.open_count());
         servers
             .iter()
             .map(|(id, state)| {
-                let (seen, open) = seen(state);
-                (id.clone(), seen, open)
+                let (stats, open) = stats(state);
+                (id.clone(), stats, open)
             })
             .collect()
     }
