--- a/crates/jacinthbeam-host/src/process/broken.rs
+++ b/crates/jacinthbeam-host/src/process/broken.rs
@@ -45,7 +45,7 @@
     }
 
     /// A caller left, and its request was given up at the server.
-    pub fn on_left(&self, running: Running) {
+    pub fn on_caller_disconnect(&self, running: Running) {
         self.add(running, LEFT_WITHIN);
     }
 
@@ -58,12 +58,12 @@
     }
 
     /// Whether it is time to look if the server still takes connections.
-    pub fn may_look(&self, now: Instant) -> bool {
+    pub fn is_check_due(&self, now: Instant) -> bool {
         self.looked.get().is_none_or(|at| now >= at + LOOK_EVERY)
     }
 
     /// The server has just taken a connection.
-    pub fn on_taken(&self, now: Instant) {
+    pub fn on_connected(&self, now: Instant) {
         self.looked.set(Some(now));
     }
 
--- a/crates/jacinthbeam-host/src/request/crash.rs
+++ b/crates/jacinthbeam-host/src/request/crash.rs
@@ -133,7 +133,7 @@
 
     /// Records that the caller disconnected while the request was in flight at `server`.
     pub(super) fn on_caller_disconnect(self, server: &Server) {
-        self.traffic.server(server).broken.on_left(self.running());
+        self.traffic.server(server).broken.on_caller_disconnect(self.running());
     }
 }
 
@@ -141,12 +141,12 @@
 async fn check_liveness(traffic: &Traffic, server: &Server, max_connections: u32) -> bool {
     let state = traffic.server(server);
     for _ in 0..LIVENESS_ATTEMPTS {
-        if !state.broken.may_look(traffic.now()) {
+        if !state.broken.is_check_due(traffic.now()) {
             return false;
         }
         match state.pool.connect(max_connections).await {
             Ok(conn) => {
-                state.broken.on_taken(traffic.now());
+                state.broken.on_connected(traffic.now());
                 state.pool.release(conn, traffic.now(), None);
                 return false;
             }
