--- a/crates/jacinthbeam-host/src/process/broken.rs
+++ b/crates/jacinthbeam-host/src/process/broken.rs
@@ -1,4 +1,4 @@
-//! Requests that were at a server when their connection ended, until it is known whether the server has ended too.
+//! Requests that were in flight at a server when their connection ended, kept until it is known whether the server has ended too.
 
 use std::{
     cell::{Cell, RefCell},
@@ -8,68 +8,70 @@
 
 use jacinthbeam_crash::Fingerprint;
 
-/// A server may be found gone so long after a connection to it broke: as long as one takes to start again at most, as a rule.
-const BROKE_WITHIN: Duration = Duration::from_secs(10);
+/// Time after a broken connection within which the end of its server is attributed to the request. Servers usually restart within it.
+const BROKEN_TTL: Duration = Duration::from_secs(10);
 
-/// The same for a request whose caller left, so that nobody saw whether its connection would have broken.
-const LEFT_WITHIN: Duration = Duration::from_secs(2);
+/// The same for a request whose caller disconnected, so that it is unknown whether its connection would have broken.
+const DISCONNECTED_TTL: Duration = Duration::from_secs(2);
 
-/// Requests that are kept for one server, the oldest left out first: more than run there at a time.
-const MOST: usize = 64;
+/// Maximum number of requests kept for one server; the oldest is dropped first. A server has fewer in flight at a time.
+const MAX_REQUESTS: usize = 64;
 
-/// Pause between two looks whether a server still takes connections that it has just taken.
-const LOOK_EVERY: Duration = Duration::from_millis(200);
+/// Minimum time between an accepted connection and the next check whether the server still accepts connections.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// One request of one caller.
+/// A request that was in flight when its connection ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Running {
-    /// The request.
+    /// Fingerprint of the request.
     pub request: Fingerprint,
-    /// Its caller.
+    /// The caller.
     pub caller: IpAddr,
     /// When its connection ended.
     pub at: Instant,
 }
 
-/// What has broken at one server lately.
+/// Requests whose connections to one server ended recently.
 #[derive(Debug, Default)]
 pub struct Broken {
-    waiting: RefCell<Vec<(Running, Instant)>>,
-    looked: Cell<Option<Instant>>,
+    /// The requests, each with the time at which it expires.
+    requests: RefCell<Vec<(Running, Instant)>>,
+    /// When the server last accepted a connection of a check.
+    connected: Cell<Option<Instant>>,
 }
 
 impl Broken {
-    /// A connection broke without an answer, or with half of one.
+    /// Records a request whose connection broke without an answer, or amid one.
     pub fn on_broken(&self, running: Running) {
-        self.add(running, BROKE_WITHIN);
+        self.add(running, BROKEN_TTL);
     }
 
-    /// A caller left, and its request was given up at the server.
+    /// Records a request that was aborted at the server because its caller disconnected.
     pub fn on_caller_disconnect(&self, running: Running) {
-        self.add(running, LEFT_WITHIN);
+        self.add(running, DISCONNECTED_TTL);
     }
 
     fn add(&self, running: Running, within: Duration) {
-        let mut waiting = self.waiting.borrow_mut();
-        if waiting.len() >= MOST {
-            waiting.remove(0);
+        let mut requests = self.requests.borrow_mut();
+        if requests.len() >= MAX_REQUESTS {
+            requests.remove(0);
         }
-        waiting.push((running, running.at + within));
+        requests.push((running, running.at + within));
     }
 
-    /// Whether it is time to look if the server still takes connections.
+    /// Whether to check again if the server still accepts connections.
     pub fn is_check_due(&self, now: Instant) -> bool {
-        self.looked.get().is_none_or(|at| now >= at + LOOK_EVERY)
+        self.connected.get().is_none_or(|at| now >= at + CHECK_INTERVAL)
     }
 
-    /// The server has just taken a connection.
+    /// Records that the server has just accepted a connection.
     pub fn on_connected(&self, now: Instant) {
-        self.looked.set(Some(now));
+        self.connected.set(Some(now));
     }
 
-    /// Everything that was running there lately, of which nothing is kept.
+    /// Removes all requests and returns those that haven't expired.
     pub fn take(&self, now: Instant) -> Vec<Running> {
-        let waiting = std::mem::take(&mut *self.waiting.borrow_mut());
-        waiting.into_iter().filter(|(_, until)| now < *until).map(|(running, _)| running).collect()
+        let requests = std::mem::take(&mut *self.requests.borrow_mut());
+        requests.into_iter().filter(|(_, until)| now < *until).map(|(running, _)| running).collect()
     }
 }
--- a/crates/jacinthbeam-host/src/process/evacuation.rs
+++ b/crates/jacinthbeam-host/src/process/evacuation.rs
@@ -1,4 +1,5 @@
-//! Failure domains that the operator evacuates: no request goes to their servers until they are taken back. No I/O.
+//! Failure domains that the operator has evacuated: no request is sent to their servers until the operator returns them to service.
+//! No I/O.
 
 use std::{
     collections::BTreeMap,
@@ -10,7 +11,7 @@
 
 use crate::version::Leaving;
 
-/// What is known of one failure domain.
+/// The latest record of one failure domain.
 #[derive(Debug, Clone, Copy)]
 struct Entry {
     /// Offset of the operator's record.
@@ -20,34 +21,34 @@
 
 #[derive(Debug, Clone, Copy)]
 enum State {
-    /// The store took the operator's word at this moment or later.
+    /// Evacuated; the store acknowledged the operator's record at this time or later.
     Evacuated(Leaving),
-    /// This host learnt at this moment that the domain is taken back.
+    /// Back in service; this host learnt so at this time.
     Returned(Instant),
 }
 
-/// The evacuations that this host knows of, past ones included.
+/// All evacuations that this host has received, including those that have ended.
 #[derive(Debug, Clone, Default)]
 pub struct Evacuations {
-    of: BTreeMap<FailureDomain, Entry>,
+    by_domain: BTreeMap<FailureDomain, Entry>,
 }
 
-/// What one host tells another of a failure domain.
+/// State of one failure domain, as one host sends it to another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EvacuationUpdate {
     /// The failure domain.
     pub domain: FailureDomain,
     /// Offset of the operator's record.
     pub offset: Offset,
-    /// Whether it is evacuated; else it was taken back.
+    /// Whether the domain is evacuated; if not, it is back in service.
     pub evacuated: bool,
-    /// How long ago that happened, at the most; `None` if nothing bounds it.
+    /// Upper bound of the time since then; `None` if it is unbounded.
     pub age: Option<Duration>,
 }
 
 impl Evacuations {
-    /// Takes the operator's record of a domain. An evacuation was acknowledged at `bound` or later; that it is taken back was known
-    /// `now`. Returns whether it is news.
+    /// Applies the operator's record of a domain. `bound` is the earliest time at which the store can have acknowledged an evacuation;
+    /// `now` is the time at which an end of one became known. Returns whether the record is newer than the one held.
     pub fn apply(
         &mut self,
         domain: FailureDomain,
@@ -56,31 +57,31 @@
         bound: Leaving,
         now: Instant,
     ) -> bool {
-        let before = self.of.get(&domain);
+        let before = self.by_domain.get(&domain);
         if before.is_some_and(|entry| entry.offset >= offset) {
             return false;
         }
         let state = match (before.map(|entry| entry.state), evacuated) {
-            // Said again: it stands since the first time.
+            // A repeated record doesn't change when the state began.
             (Some(state @ State::Evacuated(_)), true) => state,
             (Some(state @ State::Returned(_)), false) => state,
             (_, true) => State::Evacuated(bound),
             (_, false) => State::Returned(now),
         };
         tracing::info!(part = "evacuation", event = if evacuated { "evacuated" } else { "returned" }, domain = %domain, offset = %offset);
-        self.of.insert(domain, Entry { offset, state });
+        self.by_domain.insert(domain, Entry { offset, state });
         true
     }
 
-    /// Takes back every domain that a whole list of the operator's records lacks, unless its record came after `end`. Returns
-    /// whether there was any.
+    /// Ends every evacuation that is missing from a complete list of the operator's records, except those recorded at `end` or later.
+    /// Returns whether there was any.
     pub fn retain_listed(&mut self, listed: &[FailureDomain], end: Offset, now: Instant) -> bool {
         let is_missing = |(domain, entry): &(&FailureDomain, &Entry)| {
             let is_evacuated = matches!(entry.state, State::Evacuated(_));
             is_evacuated && entry.offset < end && !listed.contains(domain)
         };
         let missing: Vec<FailureDomain> =
-            self.of.iter().filter(is_missing).map(|(domain, _)| domain.clone()).collect();
+            self.by_domain.iter().filter(is_missing).map(|(domain, _)| domain.clone()).collect();
         let last = Offset(end.0.saturating_sub(1));
         let mut changed = false;
         for domain in missing {
@@ -89,36 +90,36 @@
         changed
     }
 
-    /// Since when a domain is evacuated; `None` if it isn't.
+    /// Start of the evacuation of a domain; `None` if it isn't evacuated.
     pub fn since(&self, domain: &FailureDomain) -> Option<Leaving> {
-        match self.of.get(domain)?.state {
+        match self.by_domain.get(domain)?.state {
             State::Evacuated(since) => Some(since),
             State::Returned(_) => None,
         }
     }
 
-    /// When this host learnt that a domain was taken back; `None` if it is evacuated or never was.
+    /// When this host learnt that a domain is back in service; `None` if it is evacuated or never was.
     pub fn returned(&self, domain: &FailureDomain) -> Option<Instant> {
-        match self.of.get(domain)?.state {
+        match self.by_domain.get(domain)?.state {
             State::Evacuated(_) => None,
             State::Returned(at) => Some(at),
         }
     }
 
-    /// The domains that are evacuated now, and since when.
+    /// The domains that are evacuated now, each with the start of its evacuation.
     pub fn evacuated(&self) -> BTreeMap<FailureDomain, Leaving> {
         let since = |domain: &FailureDomain| Some((domain.clone(), self.since(domain)?));
-        self.of.keys().filter_map(since).collect()
+        self.by_domain.keys().filter_map(since).collect()
     }
 
-    /// Everything before this offset is known of evacuations.
+    /// Offset after the newest evacuation record that was applied; all earlier records are known.
     pub fn end(&self) -> Offset {
-        self.of.values().map(|entry| Offset(entry.offset.0 + 1)).max().unwrap_or_default()
+        self.by_domain.values().map(|entry| Offset(entry.offset.0 + 1)).max().unwrap_or_default()
     }
 
-    /// What a host needs to hear that knows everything before `end`.
+    /// The updates for a host that has all records before `end`.
     pub fn updates(&self, end: Offset, now: Instant) -> Vec<EvacuationUpdate> {
-        let newer = self.of.iter().filter(|(_, entry)| entry.offset >= end);
+        let newer = self.by_domain.iter().filter(|(_, entry)| entry.offset >= end);
         let update = |(domain, entry): (&FailureDomain, &Entry)| {
             let (evacuated, age) = match entry.state {
                 State::Evacuated(Leaving::LongAgo) => (true, None),
@@ -131,7 +132,8 @@
         newer.map(update).collect()
     }
 
-    /// Takes what another host told at `at`. `bound` is what this host knew of the operator's records before. Returns whether any is new.
+    /// Applies the updates that another host sent at `at`. An evacuation began at `bound` or later, as far as this host knows by itself.
+    /// Returns whether any update is new.
     pub fn apply_updates(
         &mut self,
         updates: Vec<EvacuationUpdate>,
@@ -140,9 +142,9 @@
     ) -> bool {
         let mut changed = false;
         for EvacuationUpdate { domain, offset, evacuated, age } in updates {
-            let told = age.and_then(|age| at.checked_sub(age));
-            let since = bound.closer(Leaving::after(told));
-            changed |= self.apply(domain, offset, evacuated, since, told.unwrap_or(at));
+            let began = age.and_then(|age| at.checked_sub(age));
+            let since = bound.closer(Leaving::after(began));
+            changed |= self.apply(domain, offset, evacuated, since, began.unwrap_or(at));
         }
         changed
     }
--- a/crates/jacinthbeam-host/src/process/inbox.rs
+++ b/crates/jacinthbeam-host/src/process/inbox.rs
@@ -1,47 +1,47 @@
-//! What waits for the control thread, and in which order it is taken. No I/O.
+//! Inputs that are queued for the control thread, and the order in which they are processed. No I/O.
 
 use std::{collections::VecDeque, fmt, time::Instant};
 
-/// Inputs that are taken before other tasks get their turn, besides what the store says. Assumed is that 700 a second
-/// are all that a host can do, 1.4 ms each, so that a round takes 45 ms of the seconds in which a change has to act.
-const ROUND: usize = 32;
+/// Inputs in a batch, apart from store state. At an assumed maximum of 700 inputs a second, 1.4 ms each, a batch takes 45 ms of the
+/// seconds within which a change has to take effect.
+const BATCH_SIZE: usize = 32;
 
-/// Reports that may wait: what 128 hosts say in a second. What a host says of its load is of use for about as long, and in a backlog the
-/// present is worth more than what came first.
-const MOST_REPORTS: usize = 512;
+/// Maximum number of queued load reports: what 128 hosts send in a second. A report is useful for about as long, so a backlog drops
+/// the oldest ones.
+const MAX_QUEUED_REPORTS: usize = 512;
 
-/// What an input is to the order in which inputs are taken.
+/// Kind of an input, which decides the order in which inputs are processed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum InputKind {
-    /// It tells what the store holds, or is about telling others. Everything else is decided by it.
+    /// Carries or requests the state of the store, on which all other decisions are based.
     StoreState,
-    /// It says that time has passed; a later one says no less.
+    /// A timer tick; a later one replaces an earlier one.
     Tick,
-    /// It tells of the load that somebody saw lately, and will again.
+    /// A load report of a host; the next one follows soon.
     Report,
     /// Anything else.
     Other,
 }
 
-/// An input, and since when it waits.
+/// A queued input.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Waiting<I> {
     /// The input.
     pub input: I,
-    /// When it came.
+    /// When it arrived.
     pub since: Instant,
 }
 
-/// Inputs that have come and were not taken yet.
+/// Queue of inputs for the control thread.
 ///
-/// What the store says is taken before anything else, however much waits. In one queue it waited behind all that a host had to do for
-/// the keys that it grants: with three seconds of that piled up, a host went by an old configuration for 2.9 s
-/// (`tests/inbox.rs`, without network), and would refuse callers whose routes are in force. Since there are a few such inputs a second, the rest is not held up by them.
+/// Store state is processed before anything else, however long the queue is. In a single queue it waited behind all the work for the keys
+/// that the host grants: with a backlog of three seconds, a host used an old configuration for 2.9 s (`tests/inbox.rs`, without network),
+/// and would have refused callers whose routes were in force. There are only a few such inputs a second, so they don't delay the rest.
 pub struct Inbox<I> {
     kind: fn(&I) -> InputKind,
     news: VecDeque<Waiting<I>>,
     reports: VecDeque<Waiting<I>>,
-    /// All others, with one tick at the most.
+    /// All other inputs, including at most one tick.
     others: VecDeque<Waiting<I>>,
     tick_waits: bool,
 }
@@ -57,24 +57,24 @@
 }
 
 impl<I> Inbox<I> {
-    /// An empty one. `kind` tells inputs apart.
+    /// An empty queue. `kind` classifies inputs.
     pub fn new(kind: fn(&I) -> InputKind) -> Self {
         let [news, reports, others] = [(); 3].map(|()| VecDeque::new());
         Self { kind, news, reports, others, tick_waits: false }
     }
 
-    /// Whether nothing waits.
+    /// Whether no input is queued.
     pub fn is_empty(&self) -> bool {
         self.news.is_empty() && self.reports.is_empty() && self.others.is_empty()
     }
 
-    /// Takes an input in. Returns whether one was left out for it: the oldest report, if there are too many.
+    /// Queues an input. Returns whether a report was dropped for it: the oldest one, if there are too many.
     pub fn push(&mut self, waiting: Waiting<I>) -> bool {
         match (self.kind)(&waiting.input) {
             InputKind::StoreState => self.news.push_back(waiting),
             InputKind::Report => {
                 self.reports.push_back(waiting);
-                if self.reports.len() > MOST_REPORTS {
+                if self.reports.len() > MAX_QUEUED_REPORTS {
                     return self.reports.pop_front().is_some();
                 }
             }
@@ -84,22 +84,24 @@
         false
     }
 
-    /// What to do next, in order, before other tasks get their turn and what came meanwhile is looked at: all that the store says, and
-    /// some of the rest, half of it reports if so many wait.
+    /// Takes the next inputs to process, in order, before other tasks run and new inputs are queued: all store state, and up to
+    /// `BATCH_SIZE` others, half of them reports if that many are queued.
     pub fn next_batch(&mut self) -> Vec<Waiting<I>> {
-        let reports =
-            self.reports.len().min((ROUND / 2).max(ROUND.saturating_sub(self.others.len())));
-        let others = self.others.len().min(ROUND - reports);
+        let reports = self
+            .reports
+            .len()
+            .min((BATCH_SIZE / 2).max(BATCH_SIZE.saturating_sub(self.others.len())));
+        let others = self.others.len().min(BATCH_SIZE - reports);
         let kind = self.kind;
-        let taken: Vec<_> = self
+        let batch: Vec<_> = self
             .news
             .drain(..)
             .chain(self.others.drain(..others))
             .chain(self.reports.drain(..reports))
             .collect();
-        if taken.iter().any(|waiting| kind(&waiting.input) == InputKind::Tick) {
+        if batch.iter().any(|waiting| kind(&waiting.input) == InputKind::Tick) {
             self.tick_waits = false;
         }
-        taken
+        batch
     }
 }
--- a/crates/jacinthbeam-host/src/process/map_history.rs
+++ b/crates/jacinthbeam-host/src/process/map_history.rs
@@ -1,4 +1,4 @@
-//! The newest ownership map of a service, and what changed in it lately, so that hosts that have an earlier one are told the changes.
+//! The newest ownership map of a service and its recent changes, so that a host with an earlier map can be sent a delta.
 
 use std::{collections::VecDeque, sync::Arc};
 
@@ -8,20 +8,20 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// Earlier maps that changes are kept for: three seconds of a granting host that records ten a second. A host that follows another asks
-/// at least every 0.7 s.
-const KEPT: usize = 32;
+/// Number of earlier maps that a delta can start from. It covers three seconds of a granting host that records ten maps a second; hosts
+/// that follow another request updates at least every 0.7 s.
+const MAX_EARLIER_MAPS: usize = 32;
 
 /// A newer map for another host.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum MapUpdate {
-    /// All of it.
+    /// The whole map.
     Whole(Map),
-    /// What differs from the one that the host has.
+    /// The changes since the map that the host has.
     Changes(MapDelta),
 }
 
-/// One service's map.
+/// The newest map of a service and the changes that led to it.
 #[derive(Debug)]
 pub(super) struct MapHistory {
     newest: Arc<Map>,
@@ -38,18 +38,18 @@
         &self.newest
     }
 
-    /// Takes a map if it is newer. Returns whether it is.
+    /// Replaces the map if `map` is newer. Returns whether it is.
     pub(super) fn apply(&mut self, map: Map) -> bool {
         if !self.newest.is_older_than(&map) {
             return false;
         }
-        // A new epoch has another token for each range.
+        // A new epoch changes the token of every range, so there is no useful delta.
         if self.newest.epoch != map.epoch {
             self.earlier.clear();
         } else {
             let changed = map.changed_ranges_since(&self.newest);
             self.earlier.push_back((self.newest.revision(), changed));
-            if self.earlier.len() > KEPT {
+            if self.earlier.len() > MAX_EARLIER_MAPS {
                 self.earlier.pop_front();
             }
         }
@@ -57,38 +57,38 @@
         true
     }
 
-    /// Takes what another host tells. Returns whether it is newer.
-    pub(super) fn apply_delta(&mut self, changes: &MapDelta) -> bool {
-        self.newest.apply(changes).is_some_and(|map| self.apply(map))
+    /// Applies a delta from another host. Returns whether it leads to a newer map.
+    pub(super) fn apply_delta(&mut self, delta: &MapDelta) -> bool {
+        self.newest.apply(delta).is_some_and(|map| self.apply(map))
     }
 
-    /// What to tell a host that has the map `known`, if that is not the newest.
+    /// The update for a host whose map has the revision `known`; `None` if that is the newest.
     pub(super) fn update_for(&self, known: Option<Revision>) -> Option<MapUpdate> {
         if known.is_some_and(|known| known >= self.newest.revision()) {
             return None;
         }
-        let since = self.earlier.iter().position(|(of, _)| Some(*of) == known);
-        let news = match (known, since) {
+        let since = self.earlier.iter().position(|(revision, _)| Some(*revision) == known);
+        let update = match (known, since) {
             (Some(known), Some(at)) => {
                 MapUpdate::Changes(self.newest.delta(known, &self.changed_from(at)))
             }
             _ => MapUpdate::Whole((*self.newest).clone()),
         };
-        Some(news)
+        Some(update)
     }
 
-    /// All ranges that changed from one of the earlier maps on, ascending and disjoint.
+    /// All ranges that changed since the earlier map at index `at`, ascending and disjoint.
     fn changed_from(&self, at: usize) -> Vec<KeyRange> {
         let mut changed: Vec<KeyRange> =
             self.earlier.range(at..).flat_map(|(_, ranges)| ranges).copied().collect();
         changed.sort_unstable_by_key(|range| range.first);
-        let mut joined: Vec<KeyRange> = Vec::new();
+        let mut merged: Vec<KeyRange> = Vec::new();
         for range in changed {
-            match joined.last_mut() {
+            match merged.last_mut() {
                 Some(last) if range.first <= last.last => last.last = last.last.max(range.last),
-                _ => joined.push(range),
+                _ => merged.push(range),
             }
         }
-        joined
+        merged
     }
 }
--- a/crates/jacinthbeam-host/src/process/reach.rs
+++ b/crates/jacinthbeam-host/src/process/reach.rs
@@ -1,17 +1,17 @@
-//! Whether the store answers the reads of this host, and whose turn it is to ask while it doesn't.
+//! Whether the store answers the reads of this host, and which reader probes it while it doesn't.
 
 use std::cell::Cell;
 
 use tokio::sync::{Mutex, MutexGuard};
 
-/// Reads that failed one after the other, of any partition, from which on the store counts as away. Single answers are lost now and then, and
-/// what they held has two seconds to act.
+/// Consecutive failed reads, over all partitions, after which the store counts as unreachable. Single answers are lost now and then, and
+/// their records have two seconds to take effect.
 pub const UNREACHABLE_AFTER: u32 = 3;
 
-/// What the readers of all partitions know of the store together.
+/// Reachability of the store, shared by the readers of all partitions.
 ///
-/// While it is away, one read at a time asks whether it is back. Each partition asking for itself would cost four times as many calls, each
-/// of them priced, for the same answer.
+/// While the store is unreachable, one reader at a time probes it. With every partition probing, the same answer would cost four times
+/// as many calls, and each call is charged.
 #[derive(Debug, Default)]
 pub struct StoreReachability {
     failed: Cell<u32>,
@@ -19,25 +19,25 @@
 }
 
 impl StoreReachability {
-    /// A read has ended.
-    pub fn on_read(&self, done: bool) {
-        let failed = if done { 0 } else { self.failed.get().saturating_add(1) };
+    /// Records the result of a read.
+    pub fn on_read(&self, success: bool) {
+        let failed = if success { 0 } else { self.failed.get().saturating_add(1) };
         self.failed.set(failed);
     }
 
-    /// Waits for a turn to ask, which lasts until it is dropped. `None` if none is needed.
+    /// Waits for the turn to probe the store; the turn ends when the guard is dropped. `None` if the store is reachable.
     ///
-    /// The store may be back once the turn has come. A reader that then kept it through a read that waits for news kept the others from
-    /// theirs: for 25 s the hosts of a failure domain went by an old map of owners.
+    /// Reachability is checked again after the wait, since the store may be back by then. A reader that kept the turn through a long-poll
+    /// read blocked the other partitions: the hosts of a failure domain used an old ownership map for 25 s.
     pub async fn probe_turn(&self) -> Option<MutexGuard<'_, ()>> {
-        if !self.is_away() {
+        if !self.is_unreachable() {
             return None;
         }
         let turn = self.turn.lock().await;
-        self.is_away().then_some(turn)
+        self.is_unreachable().then_some(turn)
     }
 
-    fn is_away(&self) -> bool {
+    fn is_unreachable(&self) -> bool {
         self.failed.get() >= UNREACHABLE_AFTER
     }
 }
--- a/crates/jacinthbeam-host/src/process/serving.rs
+++ b/crates/jacinthbeam-host/src/process/serving.rs
@@ -28,25 +28,25 @@
     request,
 };
 
-/// What the thread is started with.
+/// What the traffic thread is started with.
 pub(super) struct Start {
     pub(super) traffic: traffic::Start,
     pub(super) phase: watch::Sender<Phase>,
     pub(super) callers: TcpListener,
     pub(super) reports: UdpSocket,
-    /// Dropped when the last request was answered.
+    /// Dropped when the last connection is closed, or when the time for the shutdown is up.
     pub(super) served: oneshot::Sender<()>,
 }
 
-/// Pause between two reports of load to the host that grants. Its decisions are made about as often.
+/// Interval between load reports to the granting hosts, which make their decisions about as often.
 const REPORT_EVERY: Duration = Duration::from_millis(250);
 
-/// After the word to stop, callers' connections stay open for this long: the balancer needs two misses, a second apart, to
-/// send no new ones, and some milliseconds.
-const LEAVE_FOR: Duration = Duration::from_millis(2300);
+/// Time between the start of the shutdown and the closing of callers' connections. The load balancer stops sending new connections
+/// after two failed health checks a second apart; the rest is slack.
+const LEAVING_PHASE: Duration = Duration::from_millis(2300);
 
-/// Kept between the end of the last request and the forced end of the process.
-const BEFORE_FORCED: Duration = Duration::from_millis(300);
+/// Time left between the end of the last request and the forced exit of the process.
+const EXIT_MARGIN: Duration = Duration::from_millis(300);
 
 pub(super) async fn run(start: Start) {
     let stop_within = start.traffic.settings.stop_within;
@@ -66,30 +66,30 @@
     let serve = move |req| request::serve(serving.clone(), req);
     let limits = move || limits.view().config.as_ref().map(|cfg| cfg.limits);
     spawn_local(accept::run(listener, cx, limits, serve));
-    leave(&phase, &open, stop_within).await;
+    shut_down(&phase, &open, stop_within).await;
     tracing::info!(part = "process", event = "served", connections = %open.get());
     drop(served);
 }
 
-/// Waits for the word to stop, and then until the last connection is closed or time is up.
-async fn leave(phase: &watch::Sender<Phase>, open: &Cell<usize>, stop_within: Duration) {
+/// Waits for the shutdown to start, and then until the last connection is closed or the time is up.
+async fn shut_down(phase: &watch::Sender<Phase>, open: &Cell<usize>, stop_within: Duration) {
     let mut changes = phase.subscribe();
     if changes.wait_for(|phase| *phase > Phase::Serving).await.is_err() {
         return;
     }
-    let begun = Instant::now();
+    let started = Instant::now();
     tracing::info!(part = "process", event = "stopping", connections = %open.get());
-    tokio::time::sleep(LEAVE_FOR).await;
+    tokio::time::sleep(LEAVING_PHASE).await;
     phase.send_replace(Phase::Closing);
-    let end = begun + stop_within.saturating_sub(BEFORE_FORCED);
+    let end = started + stop_within.saturating_sub(EXIT_MARGIN);
     while open.get() > 0 && Instant::now() < end {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// Reports what was asked of keyed services to the hosts that grant their keys.
+/// Sends load reports of keyed services to the hosts that grant their keys.
 async fn report(traffic: Rc<Traffic>, socket: tokio::net::UdpSocket) {
-    let mut past = Past::default();
+    let mut recent = RecentLoad::default();
     loop {
         tokio::time::sleep(REPORT_EVERY).await;
         traffic.tidy();
@@ -98,7 +98,7 @@
         let view = traffic.view();
         for (service, report) in traffic.take_reports() {
             let leader = view.maps.get(&service).and_then(|map| map.leader.as_ref());
-            let report = past.add(&service, leader, report);
+            let report = recent.add(&service, leader, report);
             let Some(leader) = leader else { continue };
             for message in Message::loads(&traffic.settings.host, &service, report) {
                 if let Err(err) = socket.send_to(&message.to_bytes(), leader.addr).await {
@@ -109,40 +109,41 @@
     }
 }
 
-/// What was reported lately, for a host that begins to grant and has heard none of it.
+/// Recently reported requests, for a new granting host that has received no earlier report.
 ///
-/// Without it the duty's change of hands would leave the new host without a picture of the load for some seconds: it would
-/// hand the keys of a leaving server on as if nobody asked for them, a hot hundred of them to one owner.
+/// Without them a new granting host would know nothing of the load for some seconds. It would move the keys of a leaving server as if
+/// they had no traffic, and could give a hundred hot keys to a single owner.
 #[derive(Debug, Default)]
-struct Past {
-    of: BTreeMap<ServiceName, (Option<Leader>, BTreeMap<Key, f64>)>,
+struct RecentLoad {
+    /// The leader that was last reported to, and decaying counts of the requests for each key.
+    by_service: BTreeMap<ServiceName, (Option<Leader>, BTreeMap<Key, f64>)>,
 }
 
-/// Part of a count that is left at the next report: as much as the granting host's own counts lose in the time.
-fn kept() -> f64 {
+/// Factor by which counts decay between two reports; the granting host's own counts decay at the same rate.
+fn decay() -> f64 {
     (-REPORT_EVERY.as_secs_f64() / demand::DECAY_TIME.as_secs_f64()).exp()
 }
 
-impl Past {
-    /// Takes the counts since the last report. Returns what to report: to a new leader, the last seconds too.
+impl RecentLoad {
+    /// Adds the counts since the last report. Returns the report to send, which for a new leader includes the counts of recent seconds.
     fn add(
         &mut self,
         service: &ServiceName,
         leader: Option<&Leader>,
         report: LoadReport,
     ) -> LoadReport {
-        let (told, keys) = self.of.entry(service.clone()).or_default();
+        let (reported_to, keys) = self.by_service.entry(service.clone()).or_default();
         keys.retain(|_, count| {
-            *count *= kept();
+            *count *= decay();
             *count > 0.1
         });
         let rounded = keys.iter().map(|(key, count)| (*key, count.round() as u32));
-        let earlier = if told.as_ref() == leader {
+        let earlier = if reported_to.as_ref() == leader {
             BTreeMap::new()
         } else {
             rounded.filter(|(_, count)| *count > 0).collect()
         };
-        *told = leader.cloned();
+        *reported_to = leader.cloned();
         for (key, count) in &report.keys {
             *keys.entry(*key).or_default() += f64::from(*count);
         }
