--- a/crates/jacinthbeam-host/src/process/evacuation.rs
+++ b/crates/jacinthbeam-host/src/process/evacuation.rs
@@ -132,8 +132,8 @@
         newer.map(update).collect()
     }
 
-    /// Applies the updates that another host sent at `at`. An evacuation began at `bound` or later, as far as this host knows by itself.
-    /// Returns whether any update is new.
+    /// Applies the updates that another host sent at `at`. `bound` is the earliest time at which an evacuation can have begun, given the
+    /// records that this host has already read. Returns whether any update is new.
     pub fn apply_updates(
         &mut self,
         updates: Vec<EvacuationUpdate>,
--- a/crates/jacinthbeam-host/src/process/inbox.rs
+++ b/crates/jacinthbeam-host/src/process/inbox.rs
@@ -15,7 +15,7 @@
 pub enum InputKind {
     /// Carries or requests the state of the store, on which all other decisions are based.
     StoreState,
-    /// A timer tick; a later one replaces an earlier one.
+    /// A timer tick; while one is queued, later ones are dropped, since they add nothing.
     Tick,
     /// A load report of a host; the next one follows soon.
     Report,
@@ -39,7 +39,7 @@
 /// and would have refused callers whose routes were in force. There are only a few such inputs a second, so they don't delay the rest.
 pub struct Inbox<I> {
     kind: fn(&I) -> InputKind,
-    news: VecDeque<Waiting<I>>,
+    store_state: VecDeque<Waiting<I>>,
     reports: VecDeque<Waiting<I>>,
     /// All other inputs, including at most one tick.
     others: VecDeque<Waiting<I>>,
@@ -49,7 +49,7 @@
 impl<I> fmt::Debug for Inbox<I> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Inbox")
-            .field("news", &self.news.len())
+            .field("store_state", &self.store_state.len())
             .field("reports", &self.reports.len())
             .field("others", &self.others.len())
             .finish()
@@ -59,19 +59,19 @@
 impl<I> Inbox<I> {
     /// An empty queue. `kind` classifies inputs.
     pub fn new(kind: fn(&I) -> InputKind) -> Self {
-        let [news, reports, others] = [(); 3].map(|()| VecDeque::new());
-        Self { kind, news, reports, others, tick_waits: false }
+        let [store_state, reports, others] = [(); 3].map(|()| VecDeque::new());
+        Self { kind, store_state, reports, others, tick_waits: false }
     }
 
     /// Whether no input is queued.
     pub fn is_empty(&self) -> bool {
-        self.news.is_empty() && self.reports.is_empty() && self.others.is_empty()
+        self.store_state.is_empty() && self.reports.is_empty() && self.others.is_empty()
     }
 
     /// Queues an input. Returns whether a report was dropped for it: the oldest one, if there are too many.
     pub fn push(&mut self, waiting: Waiting<I>) -> bool {
         match (self.kind)(&waiting.input) {
-            InputKind::StoreState => self.news.push_back(waiting),
+            InputKind::StoreState => self.store_state.push_back(waiting),
             InputKind::Report => {
                 self.reports.push_back(waiting);
                 if self.reports.len() > MAX_QUEUED_REPORTS {
@@ -94,7 +94,7 @@
         let others = self.others.len().min(BATCH_SIZE - reports);
         let kind = self.kind;
         let batch: Vec<_> = self
-            .news
+            .store_state
             .drain(..)
             .chain(self.others.drain(..others))
             .chain(self.reports.drain(..reports))
--- a/crates/jacinthbeam-host/src/process/metrics.rs
+++ b/crates/jacinthbeam-host/src/process/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and latency of one process, by `opentelemetry`, read as text.
+//! Metrics of one process, recorded by `opentelemetry` and exported as Prometheus text.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,8 +15,8 @@
 
 use crate::send_outcome::SendOutcome;
 
-/// Bounds of the time buckets in seconds, around the objectives of callers.
-const SECONDS: [f64; 10] = [0.01, 0.05, 0.1, 0.2, 0.4, 0.6, 0.8, 1.2, 2.0, 4.0];
+/// Bounds of the histogram buckets in seconds, around the latency objectives of callers.
+const LATENCY_BUCKETS: [f64; 10] = [0.01, 0.05, 0.1, 0.2, 0.4, 0.6, 0.8, 1.2, 2.0, 4.0];
 
 /// Instruments of the process.
 #[derive(Debug)]
@@ -24,15 +24,15 @@
     registry: Registry,
     /// Keeps the instruments connected to the registry.
     _provider: SdkMeterProvider,
-    /// Requests that could not be read.
+    /// Requests that could not be parsed.
     pub bad_requests: Counter<u64>,
-    /// Answers of backend servers passed on, by whether they were successes.
+    /// Answers of backend servers that were passed on, by success.
     answers: Counter<u64>,
     /// Time from a request's arrival to its answer.
     latency: Histogram<f64>,
     /// Refusals and failures, by verdict and reason.
     refusals: Counter<u64>,
-    /// Records of owners, by outcome.
+    /// Writes of ownership records to the store, by outcome.
     records: Counter<u64>,
     /// Rounds of grants and releases, by outcome.
     grants: Counter<u64>,
@@ -40,57 +40,57 @@
     pub leads: Gauge<u64>,
     /// Failure domains that are evacuated.
     pub evacuated: Gauge<u64>,
-    /// Cold servers whose service bounds what they get.
+    /// Cold servers in slow start, whose service limits their request rate.
     pub cold: Gauge<u64>,
-    /// Requests sent to backend servers, by what became of them there.
+    /// Requests sent to backend servers, by outcome.
     sends: Counter<u64>,
-    /// Repeats that the budget allowed or refused, by service.
+    /// Retries that the retry budget allowed or refused, by service.
     repeats: Counter<u64>,
-    /// Repeats left in this host's share of the budget, by service.
+    /// Retries left in this host's share of the retry budget, by service.
     repeats_left: Gauge<f64>,
-    /// Time that requests waited for a key to get an owner.
+    /// Time that requests waited for their key to get an owner.
     waits: Histogram<f64>,
-    /// Time that inputs waited for the control thread, by whether they tell what the store holds.
+    /// Time that inputs waited for the control thread, by whether they carry store state.
     control_waits: Histogram<f64>,
-    /// Reports of load that were left out since newer ones piled up.
+    /// Load reports that were dropped because too many newer ones were queued.
     pub reports_left_out: Counter<u64>,
-    /// Records of the store that can't be read, by what they should be.
+    /// Records of the store that can't be parsed, by expected kind.
     unreadable: Counter<u64>,
     /// Calls to the store, by kind and outcome.
     store_calls: Counter<u64>,
-    /// Time since the last word of the store, by what it was about.
+    /// Staleness of the replicated store state, by kind of state.
     known_age: Gauge<f64>,
-    /// For the granting host, time since the store confirmed its right, by service.
+    /// On the granting host, time since the store last confirmed its lease, by service.
     proof_age: Gauge<f64>,
     /// Keys without an owner, by service.
     unowned: Gauge<u64>,
-    /// Keys without an owner, added up over time: the unavailable time of all keys together.
+    /// Keys without an owner, integrated over time: the total unavailability of all keys in key-seconds.
     unowned_seconds: Counter<f64>,
-    /// Keys that were given another owner by this process, by service.
+    /// Keys that this process moved to another owner, by service.
     moved: Counter<u64>,
-    /// Requests under which servers have ended, by whether they are refused.
+    /// Requests under which servers have crashed, by whether they are quarantined.
     suspects: Gauge<u64>,
-    /// Refusals of each request that ends servers.
+    /// Refusals of quarantined requests, by request.
     refused_for_crashes: Counter<u64>,
-    /// For the granting host, requests of the busiest owner over the mean of all, by service.
+    /// On the granting host, requests of the busiest owner divided by the mean of all owners, by service.
     imbalance: Gauge<f64>,
 }
 
 impl Counters {
-    /// Instruments in a registry of their own.
+    /// Creates the instruments in a new registry.
     pub fn new() -> Arc<Self> {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
             .with_registry(registry.clone())
             .without_target_info()
             .build()
-            .expect("the registry is new, so nothing in it clashes");
+            .expect("a new registry has no conflicting metric");
         let provider = SdkMeterProvider::builder().with_reader(exporter).build();
         let meter = provider.meter("jacinthbeam");
         let count = |name: &'static str| meter.u64_counter(name).build();
         let gauge = |name: &'static str| meter.f64_gauge(name).build();
         let seconds = |name: &'static str| {
-            meter.f64_histogram(name).with_boundaries(SECONDS.to_vec()).build()
+            meter.f64_histogram(name).with_boundaries(LATENCY_BUCKETS.to_vec()).build()
         };
         Arc::new(Self {
             bad_requests: count("jacinthbeam_bad_requests"),
@@ -124,47 +124,47 @@
     }
 
     /// Counts an answer of a backend server.
-    pub fn on_answer(&self, good: bool, took: Duration) {
-        self.answers.add(1, &[KeyValue::new("good", good)]);
+    pub fn on_answer(&self, success: bool, took: Duration) {
+        self.answers.add(1, &[KeyValue::new("good", success)]);
         self.latency.record(took.as_secs_f64(), &[]);
     }
 
-    /// Counts a request that got no answer of a backend server.
+    /// Counts a request that was refused or failed without an answer of a backend server.
     pub fn on_refusal(&self, refusal: &Refusal) {
         let verdict = KeyValue::new("verdict", refusal.verdict.as_str());
         let reason = KeyValue::new("reason", format!("{:?}", refusal.reason));
         self.refusals.add(1, &[verdict, reason]);
     }
 
-    /// Counts a request that was at a backend server.
+    /// Counts an attempt to send a request to a backend server.
     pub fn on_sent(&self, sent: &SendOutcome) {
         let outcome = match sent {
             SendOutcome::Answered { success: true, .. } => "answered".to_owned(),
             SendOutcome::Answered { success: false, .. } => "failed".to_owned(),
-            SendOutcome::NotRun(why) => format!("not-run:{why:?}"),
-            SendOutcome::Lost(why) => format!("may-have-run:{why:?}"),
+            SendOutcome::NotRun(reason) => format!("not-run:{reason:?}"),
+            SendOutcome::Lost(reason) => format!("may-have-run:{reason:?}"),
         };
         self.sends.add(1, &[KeyValue::new("outcome", outcome)]);
     }
 
-    /// Counts a repeat that was asked of the budget.
+    /// Counts a retry that the retry budget allowed or refused, and records how many are left.
     pub fn on_repeat(&self, service: &ServiceName, allowed: bool, left: f64) {
-        let of = of(service);
-        self.repeats.add(1, &[of.clone(), KeyValue::new("allowed", allowed)]);
-        self.repeats_left.record(left, &[of]);
+        let service = service_label(service);
+        self.repeats.add(1, &[service.clone(), KeyValue::new("allowed", allowed)]);
+        self.repeats_left.record(left, &[service]);
     }
 
-    /// Notes how long a request waited for an owner.
+    /// Records how long a request waited for its key to get an owner.
     pub fn on_wait(&self, took: Duration) {
         self.waits.record(took.as_secs_f64(), &[]);
     }
 
-    /// Notes how long an input waited for the control thread.
-    pub fn on_control_wait(&self, is_news: bool, waited: Duration) {
-        self.control_waits.record(waited.as_secs_f64(), &[KeyValue::new("news", is_news)]);
+    /// Records how long an input waited for the control thread.
+    pub fn on_control_wait(&self, is_store_state: bool, waited: Duration) {
+        self.control_waits.record(waited.as_secs_f64(), &[KeyValue::new("news", is_store_state)]);
     }
 
-    /// Counts a record of the store that can't be read.
+    /// Counts a record of the store that can't be parsed.
     pub fn on_unreadable(&self, what: &'static str) {
         self.unreadable.add(1, &[KeyValue::new("what", what)]);
     }
@@ -176,44 +176,44 @@
         self.store_calls.add(1, &labels);
     }
 
-    /// Notes how old a part of what is known is.
+    /// Records the age of one kind of replicated store state.
     pub fn on_known(&self, what: &'static str, age: Duration) {
         self.known_age.record(age.as_secs_f64(), &[KeyValue::new("what", what)]);
     }
 
-    /// Notes who owns the keys of a service, for the time since the last note.
+    /// Records how many keys of a service have no owner; `since` is the time since the last call.
     pub fn on_owners(&self, service: &ServiceName, unowned: u32, since: Duration) {
-        let of = [of(service)];
-        self.unowned.record(u64::from(unowned), &of);
-        self.unowned_seconds.add(f64::from(unowned) * since.as_secs_f64(), &of);
+        let labels = [service_label(service)];
+        self.unowned.record(u64::from(unowned), &labels);
+        self.unowned_seconds.add(f64::from(unowned) * since.as_secs_f64(), &labels);
     }
 
-    /// Notes what the granting host knows of a service's keys.
+    /// Records the state of the granting host for a service.
     pub fn on_leading(&self, service: &ServiceName, proof_age: Duration, imbalance: Option<f64>) {
-        let of = [of(service)];
-        self.proof_age.record(proof_age.as_secs_f64(), &of);
+        let labels = [service_label(service)];
+        self.proof_age.record(proof_age.as_secs_f64(), &labels);
         if let Some(imbalance) = imbalance {
-            self.imbalance.record(imbalance, &of);
+            self.imbalance.record(imbalance, &labels);
         }
     }
 
-    /// Notes how many requests are known under which servers have ended, and how many of them are refused.
+    /// Records the number of requests under which servers have crashed, and how many of them are quarantined.
     pub fn on_suspects(&self, all: usize, refused: usize) {
         self.suspects.record((all - refused) as u64, &[KeyValue::new("refused", false)]);
         self.suspects.record(refused as u64, &[KeyValue::new("refused", true)]);
     }
 
-    /// Counts a refusal of a request that ends servers. There are few such requests, so each has a count of its own.
+    /// Counts a refusal of a quarantined request. There are few such requests, so the fingerprint can be a label.
     pub fn on_refused_for_crashes(&self, request: Fingerprint) {
         self.refused_for_crashes.add(1, &[KeyValue::new("request", request.to_string())]);
     }
 
-    /// Counts keys that a record gave to another owner.
+    /// Counts keys that an ownership record moved to another owner.
     pub fn on_moved(&self, service: &ServiceName, keys: u32) {
-        self.moved.add(u64::from(keys), &[of(service)]);
+        self.moved.add(u64::from(keys), &[service_label(service)]);
     }
 
-    /// Counts a record of owners that was kept, or not.
+    /// Counts a write of an ownership record, by outcome.
     pub fn on_record(&self, err: Option<&Error>) {
         let outcome = match err {
             None => "kept",
@@ -224,7 +224,7 @@
         self.records.add(1, &[KeyValue::new("outcome", outcome)]);
     }
 
-    /// Counts a round of grants or a release that has ended.
+    /// Counts a completed round of grants or a completed release.
     pub fn on_grant(&self, event: &Event) {
         let (kind, outcome) = match event {
             Event::Granted { outcome: Outcome::Opened(_), .. } => ("round", "Opened".to_owned()),
@@ -237,7 +237,7 @@
         self.grants.add(1, &[KeyValue::new("kind", kind), KeyValue::new("outcome", outcome)]);
     }
 
-    /// All values, as text.
+    /// All metrics in the Prometheus text format.
     pub fn text(&self) -> String {
         let mut buf = Vec::new();
         match TextEncoder::new().encode(&self.registry.gather(), &mut buf) {
@@ -247,6 +247,6 @@
     }
 }
 
-fn of(service: &ServiceName) -> KeyValue {
+fn service_label(service: &ServiceName) -> KeyValue {
     KeyValue::new("service", service.to_string())
 }
--- a/crates/jacinthbeam-host/src/process/request_log.rs
+++ b/crates/jacinthbeam-host/src/process/request_log.rs
@@ -1,7 +1,7 @@
-//! The lines that tell the story of a request.
+//! Log lines of single requests.
 //!
-//! Each send to a server that was no plain success is told, and each refusal and failure, with what decided it and how old
-//! that was. Successes are told for one request in ten and counted for all.
+//! Within a quota, every retry and every send that failed is logged, and so is every refusal, with the state that it was decided by and
+//! the age of that state. Of successes at the first send, one in ten is logged; the metrics count all of them.
 
 use std::{
     cell::RefCell,
@@ -17,79 +17,80 @@
 use super::logs::Quota;
 use crate::{send_outcome::SendOutcome, version::View};
 
-/// Plain successes of which one is told. A host answers some thirty a second; three lines a second are enough to compare with.
-const SAMPLE: u64 = 10;
+/// One of this many successes at the first send is logged. A host answers about thirty a second; three lines a second are enough to
+/// compare with.
+const SUCCESSES_PER_LINE: u64 = 10;
 
-/// Lines of each kind a second at the most. A host refuses some tens a second under overload; beyond that they say the same.
-const PER_SECOND: u32 = 100;
+/// Maximum number of lines of each kind in a second. A host under overload refuses some tens a second; more lines add no information.
+const MAX_LINES_PER_SECOND: u32 = 100;
 
-/// What the lines of all requests share.
+/// Writes the log lines of requests within a quota for each kind of line.
 #[derive(Debug)]
 pub struct RequestLog {
     sends: RefCell<Quota>,
-    ends: RefCell<Quota>,
+    refusals: RefCell<Quota>,
 }
 
 impl Default for RequestLog {
     fn default() -> Self {
-        let quota = || RefCell::new(Quota::new(PER_SECOND));
-        Self { sends: quota(), ends: quota() }
+        let quota = || RefCell::new(Quota::new(MAX_LINES_PER_SECOND));
+        Self { sends: quota(), refusals: quota() }
     }
 }
 
 /// One send of a request to a server.
 pub struct Send<'a> {
-    /// The caller's name for the attempt.
+    /// Id of the attempt, given by the caller.
     pub id: &'a HeaderValue,
     /// The route.
     pub route: &'a str,
     /// The service.
     pub service: &'a ServiceName,
-    /// The key, if the service has any.
+    /// The key, if the service is keyed.
     pub key: Option<Key>,
     /// The server.
     pub server: &'a ServerId,
-    /// Counts the sends of the request from 1.
+    /// Number of this send among those of the request, from 1.
     pub number: u32,
-    /// When the request came.
+    /// When the request arrived.
     pub received: Instant,
-    /// Where it came from.
+    /// Address of the caller.
     pub caller: IpAddr,
 }
 
-/// What a refusal was decided by.
+/// State that a refusal was decided by.
 #[derive(Debug, Default)]
 pub struct Basis<'a> {
-    /// The service; `None` if the request came to none.
+    /// The service; `None` if none was determined.
     pub service: Option<&'a ServiceName>,
-    /// The key, if the service has any.
+    /// The key, if the service is keyed.
     pub key: Option<Key>,
-    /// Its owner, by the map that this host knows.
+    /// Owner of the key by the current map of this host.
     pub owner: Option<ServerId>,
-    /// What the owner might be sent, if that was not everything.
+    /// Admission gate of the owner, if it had one.
     pub gate: Option<Gate>,
-    /// Requests that this host has at the owner.
+    /// Requests of this host in flight at the owner.
     pub in_flight: u32,
-    /// Servers that were tried before.
+    /// Number of servers that the request was sent to before.
     pub tried: usize,
-    /// How old what is known of the servers is.
+    /// Age of the list of servers.
     pub servers_age: Option<Duration>,
 }
 
 impl RequestLog {
-    /// Tells of a send. `same` gives the fingerprint of the request, which is worked out where its line has it: if nobody knows
-    /// what became of it, it may be the request that ended its server, and will come again as another attempt.
+    /// Logs a send. `request_fingerprint` is called only if the line contains the fingerprint, which is the case if the outcome is
+    /// unknown: the request may have crashed the server, and would return as another attempt.
     pub fn on_sent(
         &self,
         now: Instant,
         send: &Send<'_>,
         view: &View,
-        sent: &SendOutcome,
-        same: impl FnOnce() -> Fingerprint,
+        send_outcome: &SendOutcome,
+        request_fingerprint: impl FnOnce() -> Fingerprint,
     ) {
-        let (outcome, why, status) = match sent {
+        let (outcome, why, status) = match send_outcome {
             SendOutcome::Answered { res, success } => {
-                if *success && send.number == 1 && fastrand::u64(..SAMPLE) > 0 {
+                if *success && send.number == 1 && fastrand::u64(..SUCCESSES_PER_LINE) > 0 {
                     return;
                 }
                 ("answered", String::new(), res.status().as_u16())
@@ -99,9 +100,9 @@
         };
         let Some(left_out) = self.sends.borrow_mut().take(now) else { return };
         let map = view.maps.get(send.service);
-        let lost = matches!(sent, SendOutcome::Lost(_));
+        let lost = matches!(send_outcome, SendOutcome::Lost(_));
         let caller = lost.then_some(send.caller);
-        let fingerprint = lost.then(same);
+        let fingerprint = lost.then(request_fingerprint);
         tracing::info!(
             part = "request",
             event = "sent",
@@ -124,7 +125,7 @@
         );
     }
 
-    /// Tells of a request that got no answer of a server. `basis` is worked out for lines that are written.
+    /// Logs a request that was refused or failed without an answer of a server. `basis` is called only if the line is written.
     pub fn on_refused<'a>(
         &self,
         now: Instant,
@@ -134,7 +135,7 @@
         received: Instant,
         basis: impl FnOnce() -> Basis<'a>,
     ) {
-        let Some(left_out) = self.ends.borrow_mut().take(now) else { return };
+        let Some(left_out) = self.refusals.borrow_mut().take(now) else { return };
         let basis = basis();
         tracing::info!(
             part = "request",
--- a/crates/jacinthbeam-host/src/process/status.rs
+++ b/crates/jacinthbeam-host/src/process/status.rs
@@ -1,4 +1,4 @@
-//! What a host knows, in short, for operators and their programs: the page `/status`.
+//! Summary of the state of a host for operators and their tools: the page `/status`.
 
 use std::{collections::BTreeMap, net::IpAddr, time::Instant};
 
@@ -9,46 +9,46 @@
 
 use crate::{Settings, connection::accept::Phase, version::View};
 
-/// One host at one moment.
+/// State of a host at one point in time.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
     /// The host.
     pub host: HostId,
-    /// Where it runs.
+    /// Failure domain of the host.
     pub domain: FailureDomain,
-    /// Whether it is stopping.
+    /// Whether the host is shutting down.
     pub stopping: bool,
-    /// The configuration in force there; `None` before the first.
+    /// Version of the configuration in force on the host; `None` before it has received one.
     pub config: Option<ConfigVersion>,
-    /// Hosts that it knows of, itself included.
+    /// Number of hosts that it knows of, including itself.
     pub hosts: u32,
     /// Failure domains that are evacuated.
     #[serde(default)]
     pub evacuated: Vec<FailureDomain>,
     /// The services of the configuration.
     pub services: BTreeMap<ServiceName, Service>,
-    /// Requests under which servers have ended, by their fingerprints.
+    /// Requests under which servers have crashed, by fingerprint.
     #[serde(default)]
     pub crashes: BTreeMap<String, Crashes>,
 }
 
-/// Servers that have ended under one request.
+/// Servers that have crashed under one request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Crashes {
-    /// Whether it is sent to no server any more.
+    /// Whether the request is quarantined, that is, no longer sent to any server.
     pub refused: bool,
-    /// Its callers.
+    /// Callers that sent it.
     pub callers: Vec<IpAddr>,
-    /// The servers.
+    /// Servers that crashed.
     pub servers: Vec<ServerId>,
-    /// Milliseconds since the first of them ended.
+    /// Milliseconds since the first crash.
     pub first_ms_ago: u64,
-    /// Milliseconds since the last of them ended.
+    /// Milliseconds since the last crash.
     pub last_ms_ago: u64,
 }
 
 impl Crashes {
-    fn of(suspect: &Suspect, now: Instant) -> Self {
+    fn from_suspect(suspect: &Suspect, now: Instant) -> Self {
         let ago = |at: Instant| now.saturating_duration_since(at).as_millis() as u64;
         Self {
             refused: suspect.is_quarantined(),
@@ -60,19 +60,19 @@
     }
 }
 
-/// One service as a host knows it.
+/// State of a service on a host.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Service {
-    /// Its team, if the configuration names one.
+    /// The team that is charged for it, if the configuration names one.
     pub team: Option<TeamName>,
-    /// Backend servers that take new work.
+    /// Number of backend servers that accept new requests.
     pub servers: usize,
-    /// Who owns its keys.
+    /// Ownership of its keys.
     pub keys: Keys,
 }
 
 impl Service {
-    /// Keys, of 65,536, that this host knows no owner of, and so can't send requests for.
+    /// Number of keys, of 65,536, without an owner known to this host, which therefore can't send requests for them.
     pub fn unowned(&self) -> u32 {
         match &self.keys {
             Keys::Shared => 0,
@@ -82,38 +82,38 @@
     }
 }
 
-/// Who owns the keys of a service, as far as a host knows.
+/// Ownership of the keys of a service, as far as a host knows.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Keys {
-    /// Keys have no owners: any backend server takes any request.
+    /// Keys have no owners: any backend server accepts any request.
     Shared,
-    /// Keys have owners, but no record of them was read yet.
+    /// Keys have owners, but the host has not received an ownership map yet.
     Unknown,
-    /// The record of owners that is in force here.
+    /// The ownership map in force on the host.
     Owned(Owners),
 }
 
-/// A record of the owners of a service's keys.
+/// Summary of an ownership map.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Owners {
-    /// Rises with each change of the granting host.
+    /// Epoch of the map; increases with each change of the granting host.
     pub epoch: Epoch,
-    /// Counts the records of the epoch.
+    /// Version of the map within the epoch.
     pub version: u32,
     /// The granting host.
     pub leader: Option<HostId>,
-    /// Ranges that the keys are divided into.
+    /// Number of ranges that the keys are divided into.
     pub ranges: usize,
-    /// Keys, of 65,536, that nobody owns.
+    /// Number of keys, of 65,536, without an owner.
     pub unowned: u32,
 }
 
-/// What a host with this view knows.
+/// Status of a host with this view.
 pub(super) fn of(settings: &Settings, view: &View, phase: Phase, now: Instant) -> Status {
     let crashes = view.suspects.iter();
-    let crashes =
-        crashes.map(|(request, suspect)| (request.to_string(), Crashes::of(suspect, now)));
+    let crashes = crashes
+        .map(|(request, suspect)| (request.to_string(), Crashes::from_suspect(suspect, now)));
     Status {
         host: settings.host.clone(),
         domain: settings.domain.clone(),
@@ -126,7 +126,7 @@
     }
 }
 
-/// Each service of the configuration that a host with this view has.
+/// State of each service in the configuration of the view.
 pub fn services(view: &View) -> BTreeMap<ServiceName, Service> {
     let services = view.config.iter().flat_map(|cfg| &cfg.services);
     let services = services.map(|(name, service)| {
