--- a/crates/jacinthbeam-host/src/request/crash.rs
+++ b/crates/jacinthbeam-host/src/request/crash.rs
@@ -127,13 +127,13 @@
             |request: &Fingerprint| view.suspects.crashed_servers(request, self.caller) > 0;
         if let Some(request) = request.filter(is_suspect) {
             let outcome = Outcome::Succeeded { caller: self.caller };
-            self.traffic.tell_crash(Fact { request, outcome, at: self.traffic.now() });
+            self.traffic.report_fact(Fact { request, outcome, at: self.traffic.now() });
         }
     }
 
     /// Records that the caller disconnected while the request was in flight at `server`.
     pub(super) fn on_caller_disconnect(self, server: &Server) {
-        self.traffic.server(server).broken.on_left(self.running());
+        self.traffic.server(server).broken.on_caller_disconnect(self.running());
     }
 }
 
@@ -141,12 +141,12 @@
 async fn check_liveness(traffic: &Traffic, server: &Server, max_connections: u32) -> bool {
     let state = traffic.server(server);
     for _ in 0..LIVENESS_ATTEMPTS {
-        if !state.broken.may_look(traffic.now()) {
+        if !state.broken.is_check_due(traffic.now()) {
             return false;
         }
         match state.pool.connect(max_connections).await {
             Ok(conn) => {
-                state.broken.on_taken(traffic.now());
+                state.broken.on_connected(traffic.now());
                 state.pool.release(conn, traffic.now(), None);
                 return false;
             }
@@ -171,7 +171,7 @@
         |at: Instant| leaving.is_some_and(|since| since >= now.saturating_duration_since(at));
     for Running { request, caller, at } in running.into_iter().filter(|r| !had_said(r.at)) {
         let outcome = Outcome::Crashed { server: server.id.clone(), caller };
-        traffic.tell_crash(Fact { request, outcome, at });
+        traffic.report_fact(Fact { request, outcome, at });
     }
     !had_said(now)
 }
