--- a/crates/jacinthbeam-range/src/admission.rs
+++ b/crates/jacinthbeam-range/src/admission.rs
@@ -21,7 +21,7 @@
 
 /// Part of the latency objective that a request may spend at the owner. The rest is for the network and
 /// for the variance of service times.
-const OBJECTIVE_AT_OWNER: f64 = 0.8;
+const OWNER_SHARE_OF_OBJECTIVE: f64 = 0.8;
 
 /// Requests in flight per slot up to which an owner has practically no queue.
 const QUEUE_FREE_IN_FLIGHT_PER_SLOT: f64 = 1.15;
@@ -68,7 +68,7 @@
     }
     let service_time = load.service_time.as_secs_f64().max(0.001);
     let target_in_flight =
-        (slots * OBJECTIVE_AT_OWNER * objective.as_secs_f64() / service_time).max(slots);
+        (slots * OWNER_SHARE_OF_OBJECTIVE * objective.as_secs_f64() / service_time).max(slots);
     let mut admissible_rate =
         slots / service_time + (target_in_flight - load.in_flight) / CORRECTION_TIME.as_secs_f64();
     for (rank, rate) in &load.arrival_rates {
--- a/crates/jacinthbeam-range/src/balance.rs
+++ b/crates/jacinthbeam-range/src/balance.rs
@@ -238,7 +238,7 @@
     let max_load = plan.share.iter().copied().fold(f64::INFINITY, f64::min).max(MIN_MOVED_COUNT)
         * PIECE_LOAD_SHARE;
     let max_pieces =
-        (PIECES_TIMES_OWNERS / candidates.len().max(1)).clamp(MIN_PIECE_LIMIT, MAX_PIECE_LIMIT);
+        (TOTAL_PIECE_BUDGET / candidates.len().max(1)).clamp(MIN_PIECE_LIMIT, MAX_PIECE_LIMIT);
     for range in ranges.iter().flat_map(|range| split_by_load(rates, *range, max_load, max_pieces))
     {
         let is_idle = rates.count_in(range) < MIN_MOVED_COUNT / 4.0;
@@ -266,10 +266,10 @@
 /// Upper bound of the limit of pieces for one range, since each piece costs a call to two servers.
 const MAX_PIECE_LIMIT: usize = 12;
 
-/// The limit of pieces for one range times the number of owners. Among many owners, three are enough to
-/// receive what one leaves. With more pieces, a map of 181 owners grew to 1,100 to 2,500 ranges while
-/// half of the owners were replaced, and each range costs a call in every renewal.
-const PIECES_TIMES_OWNERS: usize = 264;
+/// Divided by the number of owners, the limit of pieces for one range. Among many owners, three are
+/// enough to receive what one leaves. With more pieces, a map of 181 owners grew to 1,100 to 2,500
+/// ranges while half of the owners were replaced, and each range costs a call in every renewal.
+const TOTAL_PIECE_BUDGET: usize = 264;
 
 /// Lower bound of the limit of pieces for one range.
 const MIN_PIECE_LIMIT: usize = 3;
--- a/crates/jacinthbeam-range/src/grantor/leading/majority.rs
+++ b/crates/jacinthbeam-range/src/grantor/leading/majority.rs
@@ -63,7 +63,7 @@
     }
 
     fn majority_accepted_in(&self, map: &Map) -> Option<Instant> {
-        let servers = map.assignments().iter().filter_map(|held| held.owner.as_ref());
+        let servers = map.assignments().iter().filter_map(|assignment| assignment.owner.as_ref());
         let owners: BTreeSet<&ServerId> = servers.map(|owner| &owner.server).collect();
         let accepted = |id: &&ServerId| self.owners.get(*id).and_then(|state| state.accepted_at());
         let mut times: Vec<Instant> = owners.iter().filter_map(accepted).collect();
@@ -106,9 +106,10 @@
     /// ([`OwnerState::is_connection_confirmed`](crate::grantor::owner_state::OwnerState::is_connection_confirmed)).
     fn refuses_predecessors(&self, id: &ServerId) -> bool {
         self.incarnations_of(id).any(|state| {
-            let mut held = self.map.owned_by(&state.owner.server).peekable();
-            let confirmed = |held: &Assignment| state.has_confirmed(held.range, held.token);
-            state.ended || held.peek().is_some() && held.all(confirmed)
+            let mut assignments = self.map.owned_by(&state.owner.server).peekable();
+            let confirmed =
+                |assignment: &Assignment| state.has_confirmed(assignment.range, assignment.token);
+            state.ended || assignments.peek().is_some() && assignments.all(confirmed)
         })
     }
 }
--- a/crates/jacinthbeam-range/src/grantor/leading/mod.rs
+++ b/crates/jacinthbeam-range/src/grantor/leading/mod.rs
@@ -31,7 +31,7 @@
 const CHECK_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// With fewer owners than this, their silence does not indicate a fault of this host's own network.
-const MIN_OWNERS_TO_JUDGE: usize = 3;
+const MIN_OWNERS_TO_RESIGN: usize = 3;
 
 /// Assumed duration of a request before any was measured. Only the proportions between servers
 /// matter.
@@ -141,12 +141,12 @@
         self.map = map;
         let map = &self.map;
         self.moves.retain(|moving| {
-            let held = map.lookup(moving.range.first);
-            held.token < moving.token || held.owner.as_ref() != Some(&moving.to)
+            let assignment = map.lookup(moving.range.first);
+            assignment.token < moving.token || assignment.owner.as_ref() != Some(&moving.to)
         });
         for state in self.owners.values_mut() {
-            let held = map.owned_by(&state.owner.server);
-            state.retain_confirmed(&held.map(|h| (h.range, h.token)).collect::<Vec<_>>());
+            let assignments = map.owned_by(&state.owner.server);
+            state.retain_confirmed(&assignments.map(|a| (a.range, a.token)).collect::<Vec<_>>());
         }
     }
 
@@ -273,14 +273,15 @@
             .map
             .assignments()
             .iter()
-            .filter_map(|held| held.owner.as_ref())
+            .filter_map(|assignment| assignment.owner.as_ref())
             .filter(|owner| !self.owners.contains_key(&owner.server))
             .cloned()
             .collect();
         for owner in new {
             self.track_owner(owner);
         }
-        let owners = self.map.assignments().iter().filter_map(|held| held.owner.as_ref());
+        let owners =
+            self.map.assignments().iter().filter_map(|assignment| assignment.owner.as_ref());
         let moving = self.moves.iter().flat_map(|moving| [&moving.from, &moving.to]);
         let needed: BTreeSet<&ServerId> = owners.chain(moving).map(|owner| &owner.server).collect();
         self.owners.retain(|id, state| state.round_in_flight || needed.contains(id));
@@ -336,9 +337,10 @@
 
     /// Whether more than half of the owners are silent although they are listed.
     pub(in crate::grantor) fn reaches_too_few(&self, view: View<'_>) -> bool {
-        let listed = |c: &&OwnerState| !c.ended && view.servers.takes_work(&c.owner.server);
-        let lost = self.owners.values().filter(listed).filter(|c| c.given_up).count();
-        self.owners.len() >= MIN_OWNERS_TO_JUDGE && lost * 2 > self.owners.len()
+        let listed =
+            |state: &&OwnerState| !state.ended && view.servers.takes_work(&state.owner.server);
+        let given_up = self.owners.values().filter(listed).filter(|state| state.given_up).count();
+        self.owners.len() >= MIN_OWNERS_TO_RESIGN && given_up * 2 > self.owners.len()
     }
 
     fn check(&mut self, now: Instant) -> Option<Action> {
--- a/crates/jacinthbeam-range/src/grantor/leading/plan.rs
+++ b/crates/jacinthbeam-range/src/grantor/leading/plan.rs
@@ -26,8 +26,10 @@
             .map
             .assignments()
             .iter()
-            .filter(|held| self.is_leaving(held, view.servers) && !self.is_moving(held.range))
-            .map(|held| held.range)
+            .filter(|assignment| {
+                self.is_leaving(assignment, view.servers) && !self.is_moving(assignment.range)
+            })
+            .map(|assignment| assignment.range)
             .collect();
         let room = releases_at_once(candidates.len()).saturating_sub(self.moves.len());
         if !leaving.is_empty() {
@@ -81,8 +83,8 @@
     }
 
     /// Whether the owner should give the range up and can still be asked to.
-    pub(super) fn is_leaving(&self, held: &Assignment, servers: &Servers) -> bool {
-        let Some(owner) = &held.owner else { return false };
+    pub(super) fn is_leaving(&self, assignment: &Assignment, servers: &Servers) -> bool {
+        let Some(owner) = &assignment.owner else { return false };
         let id = &owner.server;
         if servers.takes_work(id) || !self.is_usable(id) {
             return false;
@@ -97,8 +99,8 @@
 
     pub(super) fn start(&mut self, moves: impl Iterator<Item = Move>) {
         for Move { range, to } in moves {
-            let held = self.map.lookup(range.first);
-            let Some(from) = held.owner.clone().filter(|from| *from != to) else { continue };
+            let assignment = self.map.lookup(range.first);
+            let Some(from) = assignment.owner.clone().filter(|from| *from != to) else { continue };
             let token = self.next_token();
             self.moves.push(PendingMove { range, from, to, token, stage: Stage::Waiting });
         }
@@ -124,7 +126,7 @@
     pub(super) fn free_lapsed(&mut self, now: Instant) {
         for moving in &mut self.moves {
             let Stage::Releasing(ordered) = moving.stage else { continue };
-            let ended = self.owners.get(&moving.from.server).is_some_and(|c| c.ended);
+            let ended = self.owners.get(&moving.from.server).is_some_and(|state| state.ended);
             if ended || now >= ordered.max(self.predecessors_until) + longest_hold() {
                 moving.stage = Stage::Free(None);
             }
--- a/crates/jacinthbeam-range/src/grantor/leading/record.rs
+++ b/crates/jacinthbeam-range/src/grantor/leading/record.rs
@@ -47,14 +47,15 @@
     /// granting.
     fn may_have_changes(&self, view: View<'_>) -> bool {
         let is_free = |moving: &PendingMove| matches!(moving.stage, Stage::Free(_));
-        let is_lost = |state: &OwnerState| state.given_up || state.ended;
-        let has_unowned = || self.map.assignments().iter().any(|held| held.owner.is_none());
+        let gets_no_grants = |state: &OwnerState| state.given_up || state.ended;
+        let has_unowned =
+            || self.map.assignments().iter().any(|assignment| assignment.owner.is_none());
         let has_successor = |id: &ServerId| view.servers.successor_of(id).is_some();
         !self.refused.is_empty()
             || !self.in_doubt.is_empty()
             || !self.map.rivals.is_empty()
             || self.moves.iter().any(is_free)
-            || self.owners.values().any(is_lost)
+            || self.owners.values().any(gets_no_grants)
             || self.owners.keys().any(has_successor)
             || has_unowned()
     }
@@ -94,7 +95,8 @@
             let present = servers.successor_of(&id).filter(|present| !present.draining);
             let Some(present) = present else { continue };
             let owner = Owner { server: present.id.clone(), addr: present.addr };
-            let ranges: Vec<KeyRange> = self.map.owned_by(&id).map(|held| held.range).collect();
+            let ranges: Vec<KeyRange> =
+                self.map.owned_by(&id).map(|assignment| assignment.range).collect();
             let free: Vec<KeyRange> = ranges.into_iter().filter(|r| !self.is_moving(*r)).collect();
             for range in free {
                 map.assign(range, Some(owner.clone()), self.next_token(), None);
@@ -126,7 +128,7 @@
             if !self.in_doubt.is_empty() {
                 return false;
             }
-            self.owners.values_mut().filter(|c| !c.ended).for_each(OwnerState::resume);
+            self.owners.values_mut().filter(|state| !state.ended).for_each(OwnerState::resume);
             return false;
         }
         let token = self.next_token();
@@ -163,11 +165,15 @@
         for range in map.mergeable() {
             let owner = map.lookup(range.first).owner.clone();
             let all_confirmed =
-                map.assignments().iter().filter(|held| range.covers(held.range)).all(|held| {
-                    let id = held.owner.as_ref().map(|owner| &owner.server);
-                    let state = id.and_then(|id| self.owners.get(id));
-                    state.is_some_and(|c| c.has_confirmed(held.range, held.token))
-                });
+                map.assignments().iter().filter(|assignment| range.covers(assignment.range)).all(
+                    |assignment| {
+                        let id = assignment.owner.as_ref().map(|owner| &owner.server);
+                        let state = id.and_then(|id| self.owners.get(id));
+                        state.is_some_and(|state| {
+                            state.has_confirmed(assignment.range, assignment.token)
+                        })
+                    },
+                );
             if !all_confirmed || self.is_moving(range) {
                 continue;
             }
@@ -178,14 +184,14 @@
 
     /// Ranges without an owner, and those of lost servers whose holds have expired.
     pub(super) fn lapsed(&self, now: Instant) -> Vec<KeyRange> {
-        let free = |held: &&Assignment| {
-            let Some(owner) = &held.owner else { return true };
+        let free = |assignment: &&Assignment| {
+            let Some(owner) = &assignment.owner else { return true };
             self.owners.get(&owner.server).is_some_and(|state| {
-                let is_lost = state.given_up || state.ended;
-                is_lost && state.has_lapsed(now, self.predecessors_until)
+                let gets_no_grants = state.given_up || state.ended;
+                gets_no_grants && state.has_lapsed(now, self.predecessors_until)
             })
         };
-        let ranges = self.map.assignments().iter().filter(free).map(|held| held.range);
+        let ranges = self.map.assignments().iter().filter(free).map(|assignment| assignment.range);
         ranges.filter(|range| !self.is_moving(*range)).collect()
     }
 }
--- a/crates/jacinthbeam-range/src/grantor/leading/renew.rs
+++ b/crates/jacinthbeam-range/src/grantor/leading/renew.rs
@@ -28,12 +28,14 @@
             return Vec::new();
         }
         let mut of_owner: BTreeMap<&ServerId, Vec<&Assignment>> = BTreeMap::new();
-        for held in self.map.assignments() {
-            if let Some(owner) = &held.owner {
-                of_owner.entry(&owner.server).or_default().push(held);
+        for assignment in self.map.assignments() {
+            if let Some(owner) = &assignment.owner {
+                of_owner.entry(&owner.server).or_default().push(assignment);
             }
         }
-        let due = of_owner.iter().filter_map(|(server, held)| self.round(server, held, now));
+        let due = of_owner
+            .iter()
+            .filter_map(|(server, assignments)| self.round(server, assignments, now));
         let due: Vec<_> = due.collect();
         due.into_iter()
             .filter_map(|(server, grants)| self.begin(&server, grants, now, until))
@@ -45,8 +47,8 @@
         if !self.owners.get(server).is_some_and(|state| self.may_begin(state)) {
             return None;
         }
-        let held: Vec<&Assignment> = self.map.owned_by(server).collect();
-        let (_, grants) = self.round(server, &held, now)?;
+        let assignments: Vec<&Assignment> = self.map.owned_by(server).collect();
+        let (_, grants) = self.round(server, &assignments, now)?;
         let until = self.may_grant_until();
         if now >= until {
             return None;
@@ -58,10 +60,10 @@
     fn round(
         &self,
         server: &ServerId,
-        held: &[&Assignment],
+        assignments: &[&Assignment],
         now: Instant,
     ) -> Option<(ServerId, Vec<RangeGrant>)> {
-        let grants = self.grants_due(self.owners.get(server)?, held, now);
+        let grants = self.grants_due(self.owners.get(server)?, assignments, now);
         (!grants.is_empty()).then(|| (server.clone(), grants))
     }
 
@@ -88,7 +90,7 @@
     pub(super) fn grants_due(
         &self,
         state: &OwnerState,
-        held: &[&Assignment],
+        assignments: &[&Assignment],
         now: Instant,
     ) -> Vec<RangeGrant> {
         if !self.may_begin(state) {
@@ -96,13 +98,17 @@
         }
         let is_due = state.is_due(now);
         let mut grants = Vec::new();
-        for held in held {
-            for range in self.unmoved_parts(held.range) {
-                let is_new = !state.has_confirmed(range, held.token);
+        for assignment in assignments {
+            for range in self.unmoved_parts(assignment.range) {
+                let is_new = !state.has_confirmed(range, assignment.token);
                 if is_due || (is_new && state.accepts_new_ranges()) {
-                    let is_first = is_new && state.is_newer_than_connection(held.token);
-                    let handover = held.handover.clone().filter(|_| is_first);
-                    grants.push(RangeGrant { range, token: state.token(held.token), handover });
+                    let is_first = is_new && state.is_newer_than_connection(assignment.token);
+                    let handover = assignment.handover.clone().filter(|_| is_first);
+                    grants.push(RangeGrant {
+                        range,
+                        token: state.token(assignment.token),
+                        handover,
+                    });
                 }
             }
         }
