--- a/crates/jacinthbeam-crash/src/cases.rs
+++ b/crates/jacinthbeam-crash/src/cases.rs
@@ -19,13 +19,13 @@
     suspects::{Suspect, Suspects},
 };
 
-/// How long a request stays suspect after its last crash.
+/// How long a request stays suspect after its last crash or clearing, whichever is later.
 pub const SUSPICION_TTL: Duration = Duration::from_secs(10 * 60);
 
-/// How long a request stays quarantined after its last crash.
+/// How long a request stays quarantined after its last crash or clearing, whichever is later.
 ///
-/// It may have been fixed since, so quarantining it again takes [`QUARANTINE_THRESHOLD`] new
-/// crashes.
+/// The server or the caller may have been fixed since, so quarantining the request again takes
+/// [`QUARANTINE_THRESHOLD`] new crashes.
 ///
 /// [`QUARANTINE_THRESHOLD`]: crate::suspects::QUARANTINE_THRESHOLD
 pub const QUARANTINE_TTL: Duration = Duration::from_secs(60 * 60);
--- a/crates/jacinthbeam-crash/src/exchange.rs
+++ b/crates/jacinthbeam-crash/src/exchange.rs
@@ -73,7 +73,8 @@
     host: HostId,
     incarnation: Incarnation,
     cases: Cases,
-    /// The position after the last fact that did not arrive in an answer to this host.
+    /// The position after the last fact that was not received in an answer to one of this host's
+    /// own questions.
     push_end: LogPosition,
     peers: BTreeMap<SocketAddr, Peer>,
     /// Whether the host's record in the store lacks facts that this host observed, or received with
@@ -99,8 +100,8 @@
         self.cases.end()
     }
 
-    /// The position up to which facts should be pushed to the polled hosts without waiting for the
-    /// next regular question.
+    /// Facts before this position should be pushed to the polled hosts immediately, without waiting
+    /// for the next regular question.
     pub fn push_end(&self) -> LogPosition {
         self.push_end
     }
--- a/crates/jacinthbeam-crash/src/probe.rs
+++ b/crates/jacinthbeam-crash/src/probe.rs
@@ -13,7 +13,9 @@
 
 use crate::fingerprint::Fingerprint;
 
-/// Length of a slot. Connected hosts receive the evidence of a crash within this time.
+/// Length of a slot: the minimum interval between two probes that one host admits for a request.
+/// Connected hosts receive the evidence of a crash within this time, which is usually
+/// before the next probe.
 pub const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Each such period without a crash doubles the number of selected hosts.
--- a/crates/jacinthbeam-crash/src/recent.rs
+++ b/crates/jacinthbeam-crash/src/recent.rs
@@ -17,7 +17,8 @@
     suspects::Suspects,
 };
 
-/// How long a success is kept. Connected hosts receive the evidence of a crash within this time.
+/// How long a success is kept: the maximum delay of the evidence of a crash for which an earlier
+/// success is still found. Connected hosts receive the evidence within this time.
 pub const RETENTION: Duration = Duration::from_secs(3);
 
 /// Maximum number of successes that are kept.
--- a/crates/jacinthbeam-crash/tests/spread.rs
+++ b/crates/jacinthbeam-crash/tests/spread.rs
@@ -291,10 +291,8 @@
 }
 
 /// Guards against a thundering herd whose attempts are all sent before any host observes that they
-/// crash servers.
-///
-/// Load pattern: attempts of a keyed request arrive at many hosts while its key has no owner, and
-/// all are sent to the next owner at the same time.
+/// crash servers. The load pattern is that of
+/// [`crashes_before_a_fleet_wide_restart_count_after_it`].
 #[test]
 fn thundering_herd_on_an_unowned_key_crashes_few_servers() {
     for (hosts, seeds) in [(11, 0..40), (79, 0..8)] {
--- a/crates/jacinthbeam-range/src/balance.rs
+++ b/crates/jacinthbeam-range/src/balance.rs
@@ -256,8 +256,8 @@
     moves
 }
 
-/// Number of keys in a piece, unless `max_pieces` requires wider ones: an eighth of what each of twenty
-/// owners has.
+/// Approximate maximum number of keys in a piece, unless `max_pieces` requires wider ones: an eighth of
+/// what each of twenty owners has.
 const MAX_PIECE_WIDTH: u32 = 410;
 
 /// Maximum load of a piece, as a fraction of the smallest owner's share.
--- a/crates/jacinthbeam-range/src/demand/rates.rs
+++ b/crates/jacinthbeam-range/src/demand/rates.rs
@@ -98,8 +98,8 @@
 /// The ratio between the two is measured over all keys, so that a change that concerns all keys alike isn't
 /// taken for a change of any of them: callers that send more or less, a failure domain that is cut off,
 /// reports that are lost while another host becomes the leader. With a constant ratio, some ranges would
-/// look changed at such a moment and others not, and keys would move without need: this lowered the worth
-/// of the answers by 0.005 under a load without hot keys.
+/// look changed at such a moment and others not, and keys would move without need: this lowered the
+/// rated value of the answers by 0.005 under a load without hot keys.
 #[derive(Debug, Clone, Copy)]
 struct FastEstimator {
     /// Slow count of all keys divided by their fast count.
--- a/crates/jacinthbeam-range/src/grantor/action.rs
+++ b/crates/jacinthbeam-range/src/grantor/action.rs
@@ -9,7 +9,7 @@
     map::{Leader, Map, Owner},
 };
 
-/// Something that the host must do for its grantor.
+/// Output for the host to execute.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Append this map to the store, on the condition that the newest record is still the one that
--- a/crates/jacinthbeam-range/src/grantor/event.rs
+++ b/crates/jacinthbeam-range/src/grantor/event.rs
@@ -11,7 +11,7 @@
     map::{Leader, Map},
 };
 
-/// Something that happened.
+/// Input of the state machine.
 #[derive(Debug, Clone)]
 pub enum Event {
     /// The store's consumer group assigned the duty to grant to this host, or revoked it. Advisory
@@ -24,7 +24,7 @@
         /// The record; `None` if there is none.
         map: Option<Map>,
     },
-    /// The record of the last [`Action::Record`](super::Action::Record) was kept.
+    /// The record of the last [`Action::Record`](super::Action::Record) was committed.
     Recorded {
         /// When the append was sent. At some moment after that nobody had replaced this host.
         sent_at: Instant,
@@ -71,7 +71,7 @@
         /// For how long its own predecessors may still renew.
         others_left: Duration,
     },
-    /// Time has passed.
+    /// Periodic tick.
     Tick,
     /// This process has begun to shut down.
     ShutdownStarted,
--- a/crates/jacinthbeam-range/src/grantor/leading/majority.rs
+++ b/crates/jacinthbeam-range/src/grantor/leading/majority.rs
@@ -55,7 +55,7 @@
     /// The latest time such that more than half of the owners accepted a grant sent at or after it.
     ///
     /// Of all records that may be the newest one, the least favourable counts, since a successor
-    /// takes its majority from the one that was kept.
+    /// takes its majority from the one that was committed.
     fn majority_accepted_at(&self) -> Option<Instant> {
         let maps = std::iter::once(&self.map).chain(&self.pending_record).chain(&self.in_doubt);
         let times = maps.map(|map| self.majority_accepted_in(map));
@@ -114,7 +114,7 @@
     }
 }
 
-/// Records that may or may not have been kept. A later record that is kept resolves them.
+/// Records that may or may not have been committed. A later record that is committed resolves them.
 ///
 /// They all follow the same record and therefore have the same version. If they were stored by
 /// version, the last one would replace the others, and owners named only by the first one would be
--- a/crates/jacinthbeam-range/src/grantor/leading/mod.rs
+++ b/crates/jacinthbeam-range/src/grantor/leading/mod.rs
@@ -55,7 +55,7 @@
     fence: Option<Fence>,
     /// The record that is being appended.
     pending_record: Option<Map>,
-    /// Earlier records that may still be kept.
+    /// Earlier records that may yet be committed.
     in_doubt: InDoubtRecords,
     /// When an append last failed or went unanswered.
     record_failed_at: Option<Instant>,
@@ -103,7 +103,7 @@
     pub(in crate::grantor) fn on_own_record(&mut self, sent_at: Instant, map: Map) {
         self.confirmed_at = self.confirmed_at.max(sent_at);
         if map.is_older_than(&self.map) {
-            // The read was sent before the last record was kept.
+            // The read was sent before the last record was committed.
             return;
         }
         if self.pending_record.as_ref() == Some(&map) {
@@ -128,7 +128,7 @@
         }
     }
 
-    /// The record was rejected, or its result is unknown and it may be kept later.
+    /// The record was rejected, or its result is unknown and it may be committed later.
     pub(in crate::grantor) fn on_not_recorded(&mut self, now: Instant) {
         self.record_failed_at = Some(now);
         if let Some(map) = self.pending_record.take() {
@@ -289,9 +289,9 @@
 
     /// Adds the state of a new owner.
     ///
-    /// Until the record that names this incarnation was kept, grants to an earlier one went to
-    /// whichever process answered under the name, over a new connection and under a higher token
-    /// each time. Those tokens may be above the token of the record.
+    /// If an earlier incarnation is tracked, grants to it may have reached this one before the
+    /// record that names this one was committed. Each new connection raised their token, possibly
+    /// above the token of the record.
     fn track_owner(&mut self, owner: Owner) {
         let id = owner.server.clone();
         let has_other_incarnation = self.incarnations_of(&id).next().is_some();
@@ -335,7 +335,8 @@
         }
     }
 
-    /// Whether more than half of the owners are silent although they are listed.
+    /// Whether grants to more than half of the owners were given up although the servers are listed
+    /// as usable.
     pub(in crate::grantor) fn reaches_too_few(&self, view: View<'_>) -> bool {
         let listed =
             |state: &&OwnerState| !state.ended && view.servers.takes_work(&state.owner.server);
@@ -362,7 +363,9 @@
         Some(Action::Check)
     }
 
-    /// Requests a confirmation from the store, unless one was requested a moment ago.
+    /// Requests a confirmation from the store, unless a request sent less than
+    /// [`CHECK_RETRY_DELAY`] ago is still unanswered. Unlike [`Self::check`], it does not wait
+    /// until the last confirmation is old.
     fn check_again(&mut self, now: Instant) -> Option<Action> {
         if self.last_check.is_some_and(|at| now < at + CHECK_RETRY_DELAY && at > self.confirmed_at)
         {
--- a/crates/jacinthbeam-range/src/grantor/leading/record.rs
+++ b/crates/jacinthbeam-range/src/grantor/leading/record.rs
@@ -42,9 +42,10 @@
         Some(Action::Record(map))
     }
 
-    /// Whether the next record may differ from the last one. Most passes change nothing, and
-    /// copying a map of 1,100 ranges in each of them took a tenth of the time of ten seconds of
-    /// granting.
+    /// Whether the next record may differ from the last one.
+    ///
+    /// Most passes change nothing. Copying a map of 1,100 ranges in each of them took a tenth of
+    /// the time spent on granting, measured over ten seconds.
     fn may_have_changes(&self, view: View<'_>) -> bool {
         let is_free = |moving: &PendingMove| matches!(moving.stage, Stage::Free(_));
         let gets_no_grants = |state: &OwnerState| state.given_up || state.ended;
--- a/crates/jacinthbeam-range/src/grantor/leading/renew.rs
+++ b/crates/jacinthbeam-range/src/grantor/leading/renew.rs
@@ -20,8 +20,8 @@
     /// All grants that are due.
     ///
     /// `may_grant_until` is computed once per pass, since it iterates over all owners itself.
-    /// Computed once per owner, it took the busiest of 100 hosts 35 to 55 % of its processor in
-    /// place of 18 %, and the busiest of 31 hosts 22 % in place of 7 %.
+    /// Computed once per owner, it took the busiest of 100 hosts 35 to 55 % of its processor
+    /// instead of 18 %, and the busiest of 31 hosts 22 % instead of 7 %.
     pub(super) fn grants(&mut self, now: Instant) -> Vec<Action> {
         let until = self.may_grant_until();
         if now >= until {
--- a/crates/jacinthbeam-range/src/grantor/mod.rs
+++ b/crates/jacinthbeam-range/src/grantor/mod.rs
@@ -1,12 +1,13 @@
 //! State machine that decides, for one service, what the host that grants its keys does next.
 //!
 //! At most one process incarnation leads at a time: the one named by the newest record in the
-//! store. A leader may grant only within [`timing::CONFIRMATION_VALID_FOR`] of the store's last
-//! confirmation that it has not been replaced. Every change of owner is first appended to the
-//! store, on the condition that nothing else was appended meanwhile, and only then granted to the
-//! new owner. A leader that was replaced, partitioned or suspended therefore cannot appoint an
-//! owner. Its renewals are refused by the servers that its successor has reached, and elsewhere end
-//! when its last confirmation expires.
+//! store. A leader may grant only within [`timing::MAJORITY_VALID_FOR`] of the last time that the
+//! store confirmed it or more than half of the owners accepted its grants, and in any case only
+//! within [`timing::CONFIRMATION_VALID_FOR`] of the store's last confirmation. Every
+//! change of owner is first appended to the store, on the condition that nothing else was appended
+//! meanwhile, and only then granted to the new owner. A leader that was replaced, partitioned or
+//! suspended therefore cannot appoint an owner. Its renewals are refused by the servers that its
+//! successor has reached, and elsewhere end when these limits expire.
 
 mod action;
 mod event;
@@ -164,10 +165,9 @@
             Event::ShutdownStarted => self.stopping = Some(view.now),
             Event::Exit => return self.on_exit(view.now),
             // The next three events arrive hundreds of times a second in a large fleet, and a full
-            // pass takes a time that grows with the fleet. A host that granted 1,100 ranges
-            // received a configuration 3.9 s late because it ran a full pass after each answer. The
-            // next tick is soon enough for what these events change, except for new ranges of the
-            // same server.
+            // pass takes a time that grows with the fleet. With 1,100 ranges, a full pass
+            // after each answer delayed a configuration by 3.9 s. The next tick is soon enough for
+            // what these events change, except for new ranges of the same server.
             Event::Load { from, report } => {
                 self.while_leading(|leading| leading.demand.add(&from, view.now, &report));
                 return Vec::new();
--- a/crates/jacinthbeam-range/src/grantor/owner_state.rs
+++ b/crates/jacinthbeam-range/src/grantor/owner_state.rs
@@ -55,7 +55,7 @@
     round_started: Option<Instant>,
     /// Start of the latest round in which the server accepted a grant and refused none.
     accepted_at: Option<Instant>,
-    /// Whether this incarnation of the server has certainly ended.
+    /// Whether this incarnation of the server is known to have ended.
     pub(super) ended: bool,
     /// Whether the server gets no more grants, so that its hold expires.
     pub(super) given_up: bool,
@@ -111,10 +111,10 @@
     /// present connection was open. Also true if no connection is known.
     ///
     /// A server keeps the tokens that it has seen for as long as it runs, and a connection ends
-    /// with the incarnation that it was opened to. Over a connection that was open when no
-    /// successor had a record yet, the leader reaches an incarnation that refuses it from its
-    /// successor's first grant on. Over a later one it could reach an incarnation that started
-    /// after that grant and doesn't know of it, and two servers would hold the same keys.
+    /// with the incarnation that it was opened to. If the connection predates any successor's
+    /// record, its server sees the successor's first grant and then refuses this leader's. A later
+    /// connection may reach an incarnation that started after that grant: it would accept this
+    /// leader's grants, and two servers would hold the same keys.
     pub(super) fn is_connection_confirmed(&self, confirmed_at: Instant) -> bool {
         self.connected_at.is_none_or(|at| at < confirmed_at)
     }
@@ -143,7 +143,7 @@
         self.round_started = Some(now);
     }
 
-    /// A time at or after which a grant was sent that the server accepted.
+    /// Lower bound for the time at which the last accepted grant was sent.
     pub(super) fn accepted_at(&self) -> Option<Instant> {
         self.accepted_at.filter(|_| !self.ended)
     }
--- a/crates/jacinthbeam-range/src/grantor/pending_move.rs
+++ b/crates/jacinthbeam-range/src/grantor/pending_move.rs
@@ -22,7 +22,7 @@
     /// expired: the release may not have arrived, and the old owner would go on serving beside the
     /// new one. The wait is one hold from the time at which the release was ordered, however long
     /// its answer takes. If it were counted from the release's timeout, the keys of a server that
-    /// ended with requests in progress would have no owner for 7.5 s in place of 3.6 s, as
+    /// ended with requests in progress would have no owner for 7.5 s instead of 3.6 s, as
     /// calculated from the durations.
     Releasing(OrderedAt),
     /// The old owner no longer holds the keys. Contains what it hands over.
--- a/crates/jacinthbeam-range/src/grantor/stopping.rs
+++ b/crates/jacinthbeam-range/src/grantor/stopping.rs
@@ -98,7 +98,7 @@
     /// No such record is written while this host's predecessors may still renew. A successor, which
     /// sees only this record, would not wait for them either, and would give away the keys of a
     /// server that one of them still renews. It waits as for a host that was lost, unless the
-    /// broadcast sent in place of the record reaches it.
+    /// broadcast sent instead of the record reaches it.
     pub(super) fn retire(&mut self, now: Instant) -> Vec<Action> {
         self.claim = None;
         let Some(leading) = self.leading.take() else { return Vec::new() };
--- a/crates/jacinthbeam-range/src/grantor/timing.rs
+++ b/crates/jacinthbeam-range/src/grantor/timing.rs
@@ -26,9 +26,11 @@
 /// lost in a row.
 const MAX_RENEW_EVERY: Duration = Duration::from_millis(1050);
 
-/// Ranges renewed per millisecond where [`RENEW_EVERY`] would be faster: 667 calls a second. At
-/// 1,800 calls a second, for 1,100 ranges each 0.6 s, a host with a fifth of a core did nothing
-/// else and received a configuration 3.8 s late.
+/// Ranges renewed per millisecond where [`RENEW_EVERY`] would be faster: 667 calls a second. On
+/// larger maps, where [`MAX_RENEW_EVERY`] applies, the rate is higher.
+///
+/// On a host with a fifth of a core, renewing 1,100 ranges every 0.6 s (1,800 calls a second) left
+/// no processor time for other work and delayed a configuration by 3.8 s.
 const RANGES_PER_MS: f64 = 0.667;
 
 /// Interval between two grants of the same keys on a map of `ranges` ranges.
@@ -52,8 +54,9 @@
 /// are not served.
 pub const MAJORITY_VALID_FOR: Duration = Duration::from_millis(1800);
 
-/// A call that was sent before a host stopped arrives within this time, or its connection is reset:
-/// the timeout of a grant, and some time of the host's own.
+/// Maximum time after sending a call until it has arrived or its connection is reset, also if the
+/// sending host stops granting meanwhile: the timeout of a grant, and some time for the
+/// host itself.
 pub const MAX_CALL_TIME: Duration = Duration::from_millis(800);
 
 /// For this long a host that was replaced notifies its successor at each tick, since datagrams are
@@ -83,11 +86,13 @@
 /// keys have no owner until the requests that run under them have ended.
 const MIN_MOVES_AT_ONCE: usize = 8;
 
-/// Owners per such move in a large deployment. Adjacent hot keys can be spread over as many owners
-/// as there are keys, and are hot for some seconds only. Among 442 owners, eight moves per check
-/// spread 200 keys over 35 owners within 2.5 s, and one move per eight owners over 100. One move
-/// per five or per two owners reached no more, since the owners that give keys up must first answer
-/// the requests that they have (`tests/onset.rs`).
+/// Number of owners for which a balance check may move one range, in a large deployment.
+///
+/// Adjacent hot keys are hot for some seconds only, and can be spread over as many owners as there
+/// are keys. Among 442 owners, 200 such keys were spread within 2.5 s over 35 owners with eight
+/// moves per check, and over 100 owners with one move per eight owners. One move per five or per
+/// two owners reached no more, since owners must first answer the running requests of the keys that
+/// they give up (`tests/onset.rs`).
 const OWNERS_PER_MOVE: usize = 8;
 
 /// Most ranges that one balance check may move among this many owners.
--- a/crates/jacinthbeam-range/tests/grantor/cost.rs
+++ b/crates/jacinthbeam-range/tests/grantor/cost.rs
@@ -44,9 +44,9 @@
 }
 
 /// Guards against renewals that use up the processor. After half of 181 servers were replaced
-/// within ten seconds, their keys lay in 1,100 ranges. Renewed every 0.6 s, these were 1,800 calls
-/// a second, all that a host with a fifth of a core can do: it received a configuration 3.8 s late
-/// and served callers by one that had been reverted. Each range must still be renewed in time.
+/// within ten seconds, their keys lay in 1,100 ranges. Renewing them every 0.6 s, 1,800 calls a
+/// second, used up a fifth of a core: the host received a configuration 3.8 s late and meanwhile
+/// applied one that had been reverted. Each range must still be renewed in time.
 #[test]
 fn renewals_of_many_ranges_are_paced() {
     const RANGES: u32 = 1100;
--- a/crates/jacinthbeam-range/tests/grantor/server.rs
+++ b/crates/jacinthbeam-range/tests/grantor/server.rs
@@ -27,9 +27,8 @@
 /// Guards against refusals after a failure domain was cut off for three seconds: all requests for
 /// its keys were refused for three seconds more.
 ///
-/// The servers had fallen silent and left the list, so that nothing more was granted to them and
-/// their holds were to expire. Their keys had not been reassigned, so the record still named them
-/// and grants could simply be resumed.
+/// Without the rule, servers that fell silent and left the list get no more grants until their
+/// holds have expired, although the record still names them and grants could be resumed.
 #[test]
 fn relisted_server_is_granted_its_keys_again() {
     let mut harness = Harness::leading();
@@ -103,8 +102,8 @@
 }
 
 /// Guards against two owners after a release that may not have arrived: the old owner would serve
-/// on beside the new one until its grant expires. A trial of the design lacked this wait, and two
-/// servers held a range for 1.4 s.
+/// on beside the new one until its grant expires. Without the wait, two servers held a range for
+/// 1.4 s.
 #[test]
 fn unanswered_release_waits_for_the_hold() {
     let mut harness = Harness::leading();
--- a/crates/jacinthbeam-range/tests/grantor/takeover.rs
+++ b/crates/jacinthbeam-range/tests/grantor/takeover.rs
@@ -170,10 +170,10 @@
 
 /// Guards against refusing callers of every key for five seconds although all servers are up.
 ///
-/// The granting host is told to shut down while the store is unreachable. It stopped renewing
-/// immediately, holds expired three seconds later, and no host could take over before the store was
-/// back. The process runs for some seconds more to finish its last requests, and can renew for as
-/// long.
+/// The granting host is told to shut down while the store is unreachable. Without the rule, it
+/// stops renewing immediately, holds expire three seconds later, and no host can take over before the
+/// store is back. The process runs for some seconds more to finish its last requests, and can renew
+/// for as long.
 #[test]
 fn shutdown_without_the_store_keeps_renewing() {
     let mut harness = Harness::leading();
@@ -249,8 +249,8 @@
 ///
 /// A leader reaches too few servers and gives the duty back; the store doesn't keep its record of
 /// that. It gets the duty again and claims. While the claim is being appended, a read returns its
-/// own older record, and the host took that for the claim: it led on in its old epoch and began to
-/// reissue that epoch's tokens.
+/// own older record. Without the rule, the host takes that for the claim, leads on in its old epoch
+/// and reissues that epoch's tokens.
 #[test]
 fn record_of_an_earlier_epoch_does_not_confirm_a_claim() {
     let mut harness = Harness::with_servers(3, 1, None, &[]);
@@ -288,8 +288,9 @@
 ///
 /// The duty is reassigned twice within a second, and the store answers slowly. A host claims;
 /// another reads the claim and claims after it; the first reads that, and then gets the answer that
-/// its own claim was kept. It led on from there and replaced its successor's record with its next
-/// one. The successor read it, stopped, and claimed the same epoch again, with the same tokens.
+/// its own claim was committed. Without the rule, it leads on from there and replaces its
+/// successor's record with its next one. The successor reads it, stops, and claims the same epoch
+/// again, with the same tokens.
 #[test]
 fn claim_followed_by_another_does_not_lead() {
     let first = Harness::leading();
--- a/crates/jacinthbeam-range/tests/load.rs
+++ b/crates/jacinthbeam-range/tests/load.rs
@@ -34,7 +34,7 @@
     map
 }
 
-/// Four seconds of lookups as in the specified load: 137 a second, a third of them for 200 adjacent keys.
+/// Four seconds of lookups: 137 a second, a third of them for 200 adjacent keys.
 fn hot_demand(first: u16) -> Demand {
     let mut rng = fastrand::Rng::with_seed(7);
     let mut report = LoadReport::default();
--- a/crates/jacinthbeam-range/tests/onset.rs
+++ b/crates/jacinthbeam-range/tests/onset.rs
@@ -1,8 +1,8 @@
 //! Simulates the first seconds of bursts for one key or a few, without network, and counts the requests
 //! that are not served in time.
 //!
-//! The load is the specified one: 75 lookups a second over all keys, and from some moment on 36 % of them
-//! for one key, for four seconds; later the same for another key. Owners differ in speed: they serve 7 to
+//! The load: 75 lookups a second over all keys, and from some moment on 36 % of them for one key, for four
+//! seconds; later the same for another key. Owners differ in speed: they serve 7 to
 //! 17 requests a second, as measured under low load, and hold 9 requests each with their queue. Hosts send
 //! load reports four times a second, and the leader balances every 400 ms. A move takes until the old owner
 //! has answered what it had, and 100 ms for a record and a grant. Requests for the moving keys wait until
--- a/crates/jacinthbeam-range/tests/sole_owner.rs
+++ b/crates/jacinthbeam-range/tests/sole_owner.rs
@@ -221,10 +221,10 @@
     run_without_faults(12841008268177363238);
 }
 
-/// Traces the moves of the same seed. A former check counted steps in which any key was unowned, and found
-/// twenty in a row, while the requirement is that a move leaves its keys unowned for less than a second. The
-/// golden file lists each unowned range with its start, its duration and its trace: each is a single planned
-/// move that waits for running requests, and takes less than half of the permitted time.
+/// Traces the moves of the same seed. In twenty steps in a row some key is unowned, while the requirement is
+/// that a move leaves its keys unowned for less than a second. The golden file lists each unowned range with
+/// its start, its duration and its trace: each is a single planned move that waits for running requests, and
+/// takes less than half of the permitted time.
 #[test]
 fn traced_moves_follow_one_another() {
     let mut world = World::new(FaultRates::NONE, 12841008268177363238);
--- a/crates/jacinthbeam-types/src/clock.rs
+++ b/crates/jacinthbeam-types/src/clock.rs
@@ -11,7 +11,9 @@
     /// Monotonic time. All leases, timeouts and deadlines are measured with it.
     fn now(&self) -> Instant;
 
-    /// Wall clock time, for logs and usage records only. No decision depends on it.
+    /// Wall clock time, for logs and usage records. It may jump, so no lease, timeout or deadline
+    /// depends on it. Probe slots and the age of stored crash evidence use wall clock time too,
+    /// passed in as a [`SystemTime`].
     fn wall(&self) -> SystemTime;
 }
 
