--- a/crates/jacinthbeam-range/src/grantor/mod.rs
+++ b/crates/jacinthbeam-range/src/grantor/mod.rs
@@ -242,8 +242,8 @@
         // A process that has led before has left an older record that also names it. If that were
         // taken for the pending claim, this process would lead in the old epoch and reissue its
         // tokens, which are lower than those that servers already hold.
-        let kept = self.claim.take_if(|claim| claim.map.epoch == newest.epoch);
-        match (&mut self.leading, kept) {
+        let committed = self.claim.take_if(|claim| claim.map.epoch == newest.epoch);
+        match (&mut self.leading, committed) {
             (Some(leading), _) => leading.on_own_record(sent_at, newest),
             (None, Some(claim)) => self.begin(view, sent_at, newest, &claim),
             // No claim is pending, so this process has stopped leading since.
