--- a/crates/jacinthbeam-range/src/grantor/leading/plan.rs
+++ b/crates/jacinthbeam-range/src/grantor/leading/plan.rs
@@ -65,9 +65,8 @@
 
     /// Whether the store accepts records of this host, as far as is known.
     ///
-    /// While it accepts none, keys taken off an owner that could serve them would have no owner
-    /// until it does, and all requests for them would be refused; an overloaded owner still answers
-    /// some.
+    /// While it accepts none, a move cannot be completed: the keys would have no owner, and all
+    /// requests for them would be refused, whereas an overloaded owner still answers some.
     fn store_accepts_records(&self) -> bool {
         self.pending_record.is_none()
             && self.record_failed_at.is_none_or(|at| self.confirmed_at >= at)
--- a/crates/jacinthbeam-range/src/grantor/mod.rs
+++ b/crates/jacinthbeam-range/src/grantor/mod.rs
@@ -85,7 +85,7 @@
 struct Claim {
     map: Map,
     /// Predecessors, which may go on renewing for as long as they have a confirmation from before
-    /// the claim. More than one if an earlier claim may still turn out to be the one that was kept.
+    /// the claim. More than one if an earlier claim may still turn out to be the committed one.
     predecessors: Vec<Leader>,
 }
 
@@ -297,7 +297,7 @@
         if self.newest.is_none() && !self.divide(view, &mut map) {
             return None;
         }
-        // An earlier claim may still be kept late, so its predecessors count too.
+        // An earlier claim may still be committed late, so its predecessors count too.
         let mut predecessors = self.claim.take().map_or_else(Vec::new, |claim| claim.predecessors);
         predecessors.extend(map.leader.clone().filter(|leader| !predecessors.contains(leader)));
         map.begin_epoch(self.me.clone());
--- a/crates/jacinthbeam-range/src/grantor/timing.rs
+++ b/crates/jacinthbeam-range/src/grantor/timing.rs
@@ -49,9 +49,8 @@
 /// How long a leader may go on renewing after most owners accepted its grants, if the store has not
 /// confirmed it since.
 ///
-/// Two rounds of renewals may be lost, each with the time of a call that gets no answer. A
-/// successor waits this long, so each second of it is a second in which the keys of a dead server
-/// are not served.
+/// Long enough for two lost rounds of renewals, each with the timeout of a call. A successor waits
+/// this long, and the keys of a dead server are not served meanwhile.
 pub const MAJORITY_VALID_FOR: Duration = Duration::from_millis(1800);
 
 /// Maximum time after sending a call until it has arrived or its connection is reset, also if the
--- a/crates/jacinthbeam-range/tests/grantor/store.rs
+++ b/crates/jacinthbeam-range/tests/grantor/store.rs
@@ -52,9 +52,9 @@
 }
 
 /// Guards against a wrong majority when the store is lost while a record that names new owners is
-/// being appended. The record may have been kept, and a successor then takes its majority from the
-/// new owners, which know nothing of this host. Acceptance by the old owners must not let this host
-/// renew for longer than without them.
+/// being appended. The record may have been committed, and a successor then takes its majority from
+/// the new owners, which know nothing of this host. Acceptance by the old owners must not let this
+/// host renew for longer than without them.
 #[test]
 fn owners_of_a_record_in_doubt_count_for_the_majority() {
     let mut harness = harness_with_five_joining();
@@ -82,7 +82,7 @@
 }
 
 /// The same while answers to appends are lost and reads are answered, so that the host appends one
-/// record after the other before it is cut off. Each of them may have been kept, including the
+/// record after the other before it is cut off. Each of them may have been committed, including the
 /// first one.
 #[test]
 fn each_record_in_doubt_counts() {
@@ -130,8 +130,8 @@
 /// Guards against two servers that hold the same keys and execute requests for them.
 ///
 /// A lost server's keys were assigned to another one by a record that got no answer and may have
-/// been kept. Then the other one leaves the list, so that no server can be assigned the keys, and
-/// the lost one comes back. If it were granted its keys again, it would hold them beside the other
+/// been committed. Then the other one leaves the list, so that no server can be assigned the keys,
+/// and the lost one comes back. If it were granted its keys again, it would hold them beside the other
 /// one, which gets them as soon as the record is read back.
 #[test]
 fn keys_reassigned_by_a_record_in_doubt_are_granted_to_no_server() {
@@ -173,8 +173,8 @@
 /// Guards against refusing all requests for busy keys for as long as the store accepts no records
 /// of this host.
 ///
-/// The host takes busy keys off their owner, and the record that names the next owner is not kept,
-/// so that they have no owner until one is. Then other keys are busy, and each balance check would
+/// The host takes busy keys off their owner, and the record that names the next owner is not
+/// committed, so that they have no owner until one is. Then other keys are busy, and each balance check would
 /// add some of them.
 #[test]
 fn busy_keys_stay_with_their_owners_while_records_are_not_kept() {
@@ -196,7 +196,7 @@
     (0..12).for_each(|_| busy(&mut harness, 40_000));
     assert_eq!(harness.releases, []);
 
-    // Balancing resumes once a record is kept.
+    // Balancing resumes once a record is committed.
     harness.feed(Event::NotRecorded);
     (0..12).for_each(|_| busy(&mut harness, 40_000));
     assert!(!harness.releases.is_empty());
--- a/crates/jacinthbeam-range/tests/load.rs
+++ b/crates/jacinthbeam-range/tests/load.rs
@@ -1,5 +1,5 @@
-//! Load balancing and admission under the load patterns of peak days, without network: adjacent hot keys,
-//! overloaded owners, owners that leave.
+//! Load balancing and admission, without network, with adjacent hot keys, overloaded owners and owners that
+//! leave.
 
 use std::time::{Duration, Instant};
 
--- a/crates/jacinthbeam-range/tests/sole_owner.rs
+++ b/crates/jacinthbeam-range/tests/sole_owner.rs
@@ -19,8 +19,8 @@
 /// Default real time for the runs of each test, in milliseconds: some forty runs of half a simulated minute.
 const DEFAULT_BUDGET_MS: u64 = 2000;
 
-/// Environment variable with another time, for longer runs by hand. Runs with two owners were found after 6 s
-/// to a minute in a release build.
+/// Environment variable with another time, for longer runs by hand. In a release build,
+/// faults that give a key two owners were found after 6 s to a minute.
 const BUDGET_VARIABLE: &str = "JACINTHBEAM_PLAY_MS";
 
 fn budget_ms() -> u64 {
