--- a/crates/jacinthbeam-range/src/grantor/leading/majority.rs
+++ b/crates/jacinthbeam-range/src/grantor/leading/majority.rs
@@ -55,7 +55,7 @@
     /// The latest time such that more than half of the owners accepted a grant sent at or after it.
     ///
     /// Of all records that may be the newest one, the least favourable counts, since a successor
-    /// takes its majority from the one that was kept.
+    /// takes its majority from the one that was committed.
     fn majority_accepted_at(&self) -> Option<Instant> {
         let maps = std::iter::once(&self.map).chain(&self.pending_record).chain(&self.in_doubt);
         let times = maps.map(|map| self.majority_accepted_in(map));
@@ -63,7 +63,7 @@
     }
 
     fn majority_accepted_in(&self, map: &Map) -> Option<Instant> {
-        let servers = map.assignments().iter().filter_map(|held| held.owner.as_ref());
+        let servers = map.assignments().iter().filter_map(|assignment| assignment.owner.as_ref());
         let owners: BTreeSet<&ServerId> = servers.map(|owner| &owner.server).collect();
         let accepted = |id: &&ServerId| self.owners.get(*id).and_then(|state| state.accepted_at());
         let mut times: Vec<Instant> = owners.iter().filter_map(accepted).collect();
@@ -106,14 +106,15 @@
     /// ([`OwnerState::is_connection_confirmed`](crate::grantor::owner_state::OwnerState::is_connection_confirmed)).
     fn refuses_predecessors(&self, id: &ServerId) -> bool {
         self.incarnations_of(id).any(|state| {
-            let mut held = self.map.owned_by(&state.owner.server).peekable();
-            let confirmed = |held: &Assignment| state.has_confirmed(held.range, held.token);
-            state.ended || held.peek().is_some() && held.all(confirmed)
+            let mut assignments = self.map.owned_by(&state.owner.server).peekable();
+            let confirmed =
+                |assignment: &Assignment| state.has_confirmed(assignment.range, assignment.token);
+            state.ended || assignments.peek().is_some() && assignments.all(confirmed)
         })
     }
 }
 
-/// Records that may or may not have been kept. A later record that is kept resolves them.
+/// Records that may or may not have been committed. A later record that is committed resolves them.
 ///
 /// They all follow the same record and therefore have the same version. If they were stored by
 /// version, the last one would replace the others, and owners named only by the first one would be
--- a/crates/jacinthbeam-range/tests/sole_owner.rs
+++ b/crates/jacinthbeam-range/tests/sole_owner.rs
@@ -19,8 +19,8 @@
 /// Default real time for the runs of each test, in milliseconds: some forty runs of half a simulated minute.
 const DEFAULT_BUDGET_MS: u64 = 2000;
 
-/// Environment variable with another time, for longer runs by hand. Runs with two owners were found after 6 s
-/// to a minute in a release build.
+/// Environment variable with another time, for longer runs by hand. In a release build,
+/// faults that give a key two owners were found after 6 s to a minute.
 const BUDGET_VARIABLE: &str = "JACINTHBEAM_PLAY_MS";
 
 fn budget_ms() -> u64 {
@@ -221,10 +221,10 @@
     run_without_faults(12841008268177363238);
 }
 
-/// Traces the moves of the same seed. A former check counted steps in which any key was unowned, and found
-/// twenty in a row, while the requirement is that a move leaves its keys unowned for less than a second. The
-/// golden file lists each unowned range with its start, its duration and its trace: each is a single planned
-/// move that waits for running requests, and takes less than half of the permitted time.
+/// Traces the moves of the same seed. In twenty steps in a row some key is unowned, while the requirement is
+/// that a move leaves its keys unowned for less than a second. The golden file lists each unowned range with
+/// its start, its duration and its trace: each is a single planned move that waits for running requests, and
+/// takes less than half of the permitted time.
 #[test]
 fn traced_moves_follow_one_another() {
     let mut world = World::new(FaultRates::NONE, 12841008268177363238);
