--- a/crates/jacinthbeam-host/src/process/peers/serve.rs
+++ b/crates/jacinthbeam-host/src/process/peers/serve.rs
@@ -69,11 +69,11 @@
     find: &impl Fn(UpdateRequest) -> F,
 ) -> Response<Full<Bytes>> {
     if req.uri().path() != PATH {
-        return answer::plain(StatusCode::NOT_FOUND, format!("update requests go to {PATH}"));
+        return answer::plain(StatusCode::NOT_FOUND, format!("hosts ask at {PATH}"));
     }
     let body = Limited::new(req.into_body(), MAX_REQUEST_BYTES).collect().await;
     let Ok(bytes) = body.map(|body| body.to_bytes()) else {
-        return answer::plain(StatusCode::PAYLOAD_TOO_LARGE, "the request is too large".into());
+        return answer::plain(StatusCode::PAYLOAD_TOO_LARGE, "the question is too long".into());
     };
     match update::from_bytes(&bytes) {
         Ok(request) => {
@@ -81,7 +81,7 @@
         }
         Err(err) => {
             tracing::warn!(part = "peers", event = "unreadable-question", error = ?err);
-            answer::plain(StatusCode::BAD_REQUEST, "the request can't be decoded".into())
+            answer::plain(StatusCode::BAD_REQUEST, "the question can't be read".into())
         }
     }
 }
