--- a/crates/jacinthbeam-host/src/explain.rs
+++ b/crates/jacinthbeam-host/src/explain.rs
@@ -111,11 +111,11 @@
         let host = path.file_stem().unwrap_or(path.as_os_str()).to_string_lossy();
         lines.extend(text.lines().filter_map(|line| Line::read(&host, line)));
     }
-    story(id, lines)
+    timeline(id, lines)
 }
 
 /// The lines that tell what became of request `id`, in the order of time.
-pub fn story(id: &str, lines: Vec<Line>) -> Result<Vec<Line>, Error> {
+pub fn timeline(id: &str, lines: Vec<Line>) -> Result<Vec<Line>, Error> {
     let own: Vec<&Line> = lines.iter().filter(|line| line.is_about(id)).collect();
     let begun = own.iter().map(|line| line.at - took(line)).fold(f64::INFINITY, f64::min);
     let ended = own.iter().map(|line| line.at).fold(0.0, f64::max);
--- a/crates/jacinthbeam-host/tests/logs.rs
+++ b/crates/jacinthbeam-host/tests/logs.rs
@@ -8,7 +8,7 @@
 };
 
 use jacinthbeam_host::{
-    explain::{Error, Line, story},
+    explain::{Error, Line, timeline},
     process::{
         logs::{Queue, Quota},
         replica::StoreReplica,
@@ -104,7 +104,7 @@
         line("h1", "05.5", r#""part":"request","event":"sent","id":"\"b2\"","server":"i-1""#),
     ];
     let told: Vec<String> =
-        story("a1", lines.clone()).unwrap().iter().map(Line::to_string).collect();
+        timeline("a1", lines.clone()).unwrap().iter().map(Line::to_string).collect();
     assert_eq!(
         told,
         [
@@ -114,7 +114,7 @@
             "2026-12-02T20:00:05.9Z h1 request refused reason=Moving took_ms=410",
         ]
     );
-    let unknown = story("c3", lines).unwrap_err();
+    let unknown = timeline("c3", lines).unwrap_err();
     assert!(matches!(&unknown, Error::Unknown { id, lines: 9 } if id == "c3"), "{unknown}");
 }
 
