--- a/crates/jacinthbeam-host/src/explain.rs
+++ b/crates/jacinthbeam-host/src/explain.rs
@@ -1,43 +1,43 @@
-//! The story of one request, put together from the log lines of many hosts.
+//! The timeline of one request, collected from the log lines of many hosts.
 //!
-//! A request's own lines name the servers that it was sent to. What hosts said of these servers shortly before and after is
-//! the other half of the story: that they joined or left, that their keys moved, that they fell silent.
+//! The request's own lines name the servers that it was sent to. The timeline adds what hosts logged about these servers shortly
+//! before and after: that they joined or left, that their ranges moved, that they stopped responding.
 
 use std::{collections::BTreeSet, fmt, fs, io, path::Path};
 
 use serde_json::{Map, Value};
 
-/// How far from the request's own lines others still belong to its story.
-const AROUND_S: f64 = 5.0;
+/// Seconds before and after the request within which other lines belong to its timeline.
+const CONTEXT_WINDOW_S: f64 = 5.0;
 
-/// Parts of the program whose lines about servers, owners and what is known belong to a story.
+/// Values of `part` whose lines about servers, owners and configuration belong to a timeline.
 const CONTEXT: [&str; 6] = ["servers", "grant", "maps", "config", "feed", "duty"];
 
 /// One line of a host's log.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Line {
-    /// The host, as the file of its log is named.
+    /// Name of the host, taken from the name of its log file.
     pub host: String,
-    /// Seconds within the day.
+    /// Seconds since midnight.
     at: f64,
     fields: Map<String, Value>,
 }
 
-/// Why a request has no story.
+/// Why the timeline of a request could not be built.
 #[derive(Debug)]
 pub enum Error {
     /// A log can't be read.
     File {
-        /// Its path.
+        /// Path of the log.
         path: String,
-        /// Why not.
+        /// Cause.
         err: io::Error,
     },
-    /// No line names it.
+    /// No line names the request.
     Unknown {
-        /// The request.
+        /// Id of the request.
         id: String,
-        /// Lines that were read.
+        /// Number of lines read.
         lines: usize,
     },
 }
@@ -48,8 +48,8 @@
             Self::File { path, err } => write!(f, "{path} can't be read: {err}"),
             Self::Unknown { id, lines } => write!(
                 f,
-                "none of {lines} lines names request {id}: give the logs of all hosts that may have taken it; \
-                 one that was answered well at the first send is told for one in ten only"
+                "none of {lines} lines names request {id}: pass the logs of all hosts that may have received it; \
+                 of requests that succeeded at the first attempt, only one in ten is logged"
             ),
         }
     }
@@ -58,7 +58,7 @@
 impl std::error::Error for Error {}
 
 impl Line {
-    /// Reads a line of the log of `host`. `None` for a line that is no JSON object with a time.
+    /// Parses a log line of `host`. Returns `None` unless it holds a JSON object with a timestamp.
     pub fn read(host: &str, text: &str) -> Option<Self> {
         let start = text.find('{')?;
         let fields: Map<String, Value> = serde_json::from_str(&text[start..]).ok()?;
@@ -75,7 +75,7 @@
     }
 }
 
-/// Seconds of the day of a time like `2026-12-02T19:33:35.123456Z`.
+/// Returns the seconds since midnight of a timestamp like `2026-12-02T19:33:35.123456Z`.
 fn seconds(time: &str) -> Option<f64> {
     let time = time.split_once('T')?.1.trim_end_matches('Z');
     let mut parts = time.split(':').map(|part| part.parse::<f64>().ok());
@@ -88,8 +88,10 @@
         for name in ["part", "event"] {
             write!(f, " {}", self.get(name).unwrap_or("-"))?;
         }
-        let told = ["timestamp", "level", "target", "part", "event", "id"];
-        for (name, value) in self.fields.iter().filter(|(name, _)| !told.contains(&name.as_str())) {
+        let omitted = ["timestamp", "level", "target", "part", "event", "id"];
+        for (name, value) in
+            self.fields.iter().filter(|(name, _)| !omitted.contains(&name.as_str()))
+        {
             match value {
                 Value::Null => {}
                 Value::String(text) if text.is_empty() => {}
@@ -101,7 +103,7 @@
     }
 }
 
-/// The story of request `id`, from a log of each host. A file without its ending is named as its host.
+/// Returns the timeline of request `id` from one log file per host, named after the host: `HOST.EXTENSION`.
 pub fn from_files(id: &str, paths: &[impl AsRef<Path>]) -> Result<Vec<Line>, Error> {
     let mut lines = Vec::new();
     for path in paths {
@@ -114,10 +116,13 @@
     timeline(id, lines)
 }
 
-/// The lines that tell what became of request `id`, in the order of time.
+/// Returns the lines that belong to request `id`, ordered by time.
+///
+/// These are its own lines, and those within `CONTEXT_WINDOW_S` that are about a server it was sent to, or that name no server
+/// and come from a host that logged the request.
 pub fn timeline(id: &str, lines: Vec<Line>) -> Result<Vec<Line>, Error> {
     let own: Vec<&Line> = lines.iter().filter(|line| line.is_about(id)).collect();
-    let begun = own.iter().map(|line| line.at - took(line)).fold(f64::INFINITY, f64::min);
+    let started = own.iter().map(|line| line.at - took_s(line)).fold(f64::INFINITY, f64::min);
     let ended = own.iter().map(|line| line.at).fold(0.0, f64::max);
     if own.is_empty() {
         return Err(Error::Unknown { id: id.to_owned(), lines: lines.len() });
@@ -129,18 +134,19 @@
         if line.is_about(id) {
             return true;
         }
-        let near = line.at > begun - AROUND_S && line.at < ended + AROUND_S;
-        let part = line.get("part").is_some_and(|part| CONTEXT.contains(&part));
-        // A line about many servers names them all.
+        let is_near = line.at > started - CONTEXT_WINDOW_S && line.at < ended + CONTEXT_WINDOW_S;
+        let is_context = line.get("part").is_some_and(|part| CONTEXT.contains(&part));
+        // A line about a batch of servers lists them in one field.
         let named = line.get("server").or_else(|| line.get("servers"));
-        let server = named.map(|named| named.split(' ').any(|server| servers.contains(server)));
-        near && part && server.unwrap_or_else(|| hosts.contains(&line.host))
+        let is_about_server =
+            named.map(|named| named.split(' ').any(|server| servers.contains(server)));
+        is_near && is_context && is_about_server.unwrap_or_else(|| hosts.contains(&line.host))
     };
-    let mut story: Vec<Line> = lines.into_iter().filter(belongs).collect();
-    story.sort_by(|a, b| a.at.total_cmp(&b.at));
-    Ok(story)
+    let mut timeline: Vec<Line> = lines.into_iter().filter(belongs).collect();
+    timeline.sort_by(|a, b| a.at.total_cmp(&b.at));
+    Ok(timeline)
 }
 
-fn took(line: &Line) -> f64 {
+fn took_s(line: &Line) -> f64 {
     line.fields.get("took_ms").and_then(Value::as_f64).unwrap_or(0.0) / 1e3
 }
--- a/crates/jacinthbeam-host/src/process/clock.rs
+++ b/crates/jacinthbeam-host/src/process/clock.rs
@@ -1,14 +1,14 @@
-//! A clock that goes on while the host is suspended.
+//! A clock that keeps running while the host is suspended.
 
 use std::time::{Duration, Instant, SystemTime};
 
 use jacinthbeam_types::prelude::*;
 use rustix::time::{ClockId, clock_gettime};
 
-/// Time since the host started, suspension included.
+/// Time since boot, including suspension.
 ///
-/// The ordinary steady clock stands still while a host is suspended. A process that woke up would take its right to grant
-/// keys for fresh, and renew what a successor has long given to another server.
+/// The standard monotonic clock stops while a host is suspended. With it, a process that resumes would consider its grantor lease
+/// still valid, and renew grants of ranges that a successor has since granted to another server.
 #[derive(Debug, Clone, Copy)]
 pub struct SuspendClock {
     base: Instant,
@@ -16,7 +16,7 @@
 }
 
 impl SuspendClock {
-    /// A clock whose instants compare with each other only.
+    /// A clock whose instants are comparable only with each other.
     pub fn new() -> Self {
         Self { base: Instant::now(), base_reading: reading() }
     }
--- a/crates/jacinthbeam-host/src/process/logs.rs
+++ b/crates/jacinthbeam-host/src/process/logs.rs
@@ -1,8 +1,8 @@
-//! Log lines go to standard output, one JSON object each, through a bounded queue.
+//! Writes log lines to standard output through a bounded queue, one JSON object each.
 //!
-//! A reader that stops reading standard output would otherwise stop the host at its next line. Lines that find the queue full
-//! are dropped and counted, and the count is written as soon as there is room. [`Quota`] bounds the lines of one kind, so
-//! that an overload can't cost more in lines than in refusals.
+//! Without the queue, a reader that stops reading standard output would block the host at its next line. Lines that don't fit
+//! into the queue are dropped and counted, and the count is logged as soon as lines are written again. [`Quota`] limits the rate
+//! of lines of one kind, so that logging refusals under overload can't cost more than the refusals themselves.
 
 use std::{
     io::{self, Write},
@@ -18,18 +18,18 @@
 use tracing::level_filters::LevelFilter;
 use tracing_subscriber::fmt::MakeWriter;
 
-/// Lines that may wait: a second of the busiest host's, at 300 bytes each some 600 KB.
-const QUEUE: usize = 2048;
+/// Capacity in lines: one second of the busiest host's log, about 600 KB at 300 bytes per line.
+const QUEUE_LINES: usize = 2048;
 
-/// After a flood the number of dropped lines is told within this time, also if no line follows.
-const TELL_DROPPED: Duration = Duration::from_secs(1);
+/// The number of dropped lines is logged within this time even if no further line follows.
+const REPORT_DROPPED_WITHIN: Duration = Duration::from_secs(1);
 
-/// Bytes that are written at once: what a pipe holds.
-const ONE_WRITE: usize = 64 << 10;
+/// Bytes after which a batch of lines is written: the capacity of a pipe.
+const MAX_BATCH_BYTES: usize = 64 << 10;
 
 /// Starts logging. A second call has no effect.
 pub fn start(level: LevelFilter) {
-    let (queue, rx) = Queue::new(QUEUE);
+    let (queue, rx) = Queue::new(QUEUE_LINES);
     let logger = tracing_subscriber::fmt()
         .json()
         .flatten_event(true)
@@ -39,17 +39,17 @@
         .with_max_level(level)
         .with_writer(queue.clone());
     if logger.try_init().is_err() {
-        // Another part of the process logs already.
+        // The process already has a logger.
         return;
     }
-    let written =
+    let started =
         thread::Builder::new().name("log".into()).spawn(move || queue.write_to(&rx, io::stdout()));
-    if let Err(err) = written {
-        eprintln!("lines of the log are lost, there is no thread to write them: {err}");
+    if let Err(err) = started {
+        eprintln!("can't start the log thread, log lines are lost: {err}");
     }
 }
 
-/// Where lines wait to be written.
+/// Bounded queue of lines to be written. Adding a line never blocks.
 #[derive(Debug, Clone)]
 pub struct Queue {
     tx: SyncSender<Vec<u8>>,
@@ -57,22 +57,22 @@
 }
 
 impl Queue {
-    /// A queue of at most `lines`, and its end.
+    /// Returns a queue with room for `lines` lines, and its receiver.
     pub fn new(lines: usize) -> (Self, Receiver<Vec<u8>>) {
         let (tx, rx) = sync_channel(lines);
         (Self { tx, dropped: Arc::default() }, rx)
     }
 
-    /// Writes what comes, for as long as anybody reads it.
+    /// Writes queued lines to `out` until a write fails or all senders are dropped.
     pub fn write_to(&self, rx: &Receiver<Vec<u8>>, mut out: impl Write) {
         loop {
-            let mut lines = match rx.recv_timeout(TELL_DROPPED) {
+            let mut lines = match rx.recv_timeout(REPORT_DROPPED_WITHIN) {
                 Ok(line) => line,
                 Err(RecvTimeoutError::Timeout) => Vec::new(),
                 Err(RecvTimeoutError::Disconnected) => return,
             };
-            // What has gathered meanwhile goes out in one write, up to a bound: lines may come faster than they are copied.
-            while lines.len() < ONE_WRITE
+            // Batches queued lines into one write. The bound ends the loop if lines arrive faster than they are copied.
+            while lines.len() < MAX_BATCH_BYTES
                 && let Ok(more) = rx.try_recv()
             {
                 lines.extend_from_slice(&more);
@@ -85,7 +85,7 @@
                 continue;
             }
             if out.write_all(&lines).and_then(|()| out.flush()).is_err() {
-                // Nobody reads any more; there is no other place to say so.
+                // The output is closed, and there is no other place to report that.
                 return;
             }
         }
@@ -104,7 +104,7 @@
     }
 }
 
-/// One line; it is queued when dropped.
+/// Buffer of one line, which is queued when the buffer is dropped.
 #[derive(Debug)]
 pub struct Line<'a> {
     queue: &'a Queue,
@@ -134,26 +134,28 @@
     }
 }
 
-/// Lines of one kind that may be written, and a count of those that were not.
+/// Rate limit for log lines of one kind. Counts the lines that it left out.
 #[derive(Debug)]
 pub struct Quota {
     per_second: u32,
-    begun: Option<Instant>,
+    window_start: Option<Instant>,
     written: u32,
     left_out: u64,
 }
 
 impl Quota {
-    /// At most this many lines a second.
+    /// Allows at most `per_second` lines per second.
     pub fn new(per_second: u32) -> Self {
-        Self { per_second, begun: None, written: 0, left_out: 0 }
+        Self { per_second, window_start: None, written: 0, left_out: 0 }
     }
 
-    /// Whether a line may be written now; if so, how many were left out since the last one.
+    /// Returns `None` if no line may be written now, otherwise the number of lines left out since the last one written.
     pub fn take(&mut self, now: Instant) -> Option<u64> {
-        let over = |begun: Instant| now.saturating_duration_since(begun) >= Duration::from_secs(1);
-        if self.begun.is_none_or(over) {
-            self.begun = Some(now);
+        let is_over = |window_start: Instant| {
+            now.saturating_duration_since(window_start) >= Duration::from_secs(1)
+        };
+        if self.window_start.is_none_or(is_over) {
+            self.window_start = Some(now);
             self.written = 0;
         }
         if self.written >= self.per_second {
--- a/crates/jacinthbeam-host/src/process/pages.rs
+++ b/crates/jacinthbeam-host/src/process/pages.rs
@@ -1,4 +1,4 @@
-//! Small pages that this process serves to others than callers: readiness, metrics, dump.
+//! HTTP server for operators and load balancers: readiness, metrics, dump.
 
 use std::{convert::Infallible, rc::Rc};
 
@@ -11,7 +11,7 @@
 
 use crate::request::answer;
 
-/// Serves `page`, which gets method and path, on every connection. Runs for ever.
+/// Answers each request with the result of `page`, called with method and path. Runs forever.
 pub async fn serve<F>(listener: TcpListener, page: impl Fn(&Method, &str) -> F + 'static)
 where
     F: Future<Output = Response<Full<Bytes>>> + 'static,
@@ -40,7 +40,7 @@
     }
 }
 
-/// The page for a balancer: whether this host takes new callers.
+/// Readiness page for load balancers: whether this host accepts new callers.
 pub fn ready(ready: bool) -> Response<Full<Bytes>> {
     match ready {
         true => answer::plain(StatusCode::OK, "ready".into()),
--- a/crates/jacinthbeam-host/src/process/server_lines.rs
+++ b/crates/jacinthbeam-host/src/process/server_lines.rs
@@ -1,21 +1,23 @@
-//! What is logged of backend servers that come, change and leave.
+//! Log lines about backend servers that join, change and leave.
 
 use jacinthbeam_route::Server;
 use jacinthbeam_types::prelude::*;
 
-/// Changes that come together and are told with a line each. A host that starts hears of all servers at once, one whose domain is cut off
-/// of a fifth of them: 295 hosts wrote 187,000 lines on a day with the loss of power. More than these are told in one line for each kind.
-const TOLD_SINGLY: usize = 8;
+/// Largest batch of changes that is logged with one line each; a larger batch gets one line per event.
+///
+/// A host that starts receives all servers in one batch, and the loss of a failure domain changes a fifth of them: with a line for
+/// each server, 295 hosts wrote 187,000 lines on a day with a power loss.
+const MAX_SINGLE_LINES: usize = 8;
 
-/// Servers that such a line names, at 20 bytes each; it says how many there are besides.
-const NAMED: usize = 256;
+/// Servers named in one line, at about 20 bytes each. `count` includes those that aren't named.
+const MAX_NAMES_PER_LINE: usize = 256;
 
 /// One change of a server's entry.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Line {
     Joined(Server),
     StartedAgain(Server, ServerId),
-    /// It leaves, or no longer does.
+    /// The server began or stopped draining.
     Changed(Server),
     Gone(ServerId),
 }
@@ -56,13 +58,13 @@
     }
 }
 
-/// Changes that were heard of together.
+/// The changes of one batch.
 #[derive(Debug, Default)]
 pub(super) struct ServerLines(Vec<Line>);
 
 impl ServerLines {
-    /// An entry of the life `life` says `now` in place of `before`.
-    pub(super) fn add(&mut self, life: &ServerId, before: Option<&Server>, now: Option<&Server>) {
+    /// Adds the change of the entry of the incarnation `id` from `before` to `now`, if it is one that is logged.
+    pub(super) fn add(&mut self, id: &ServerId, before: Option<&Server>, now: Option<&Server>) {
         let line = match (before, now) {
             (Some(before), Some(server)) if before.id != server.id => {
                 Line::StartedAgain(server.clone(), before.id.clone())
@@ -71,24 +73,25 @@
             (Some(before), Some(server)) if before.draining != server.draining => {
                 Line::Changed(server.clone())
             }
-            (Some(_), None) => Line::Gone(life.clone()),
+            (Some(_), None) => Line::Gone(id.clone()),
             _ => return,
         };
         self.0.push(line);
     }
 
-    /// Writes them.
+    /// Logs the changes and empties the batch.
     pub(super) fn write(&mut self) {
         let lines = std::mem::take(&mut self.0);
-        if lines.len() <= TOLD_SINGLY {
+        if lines.len() <= MAX_SINGLE_LINES {
             return lines.iter().for_each(Line::write);
         }
         for event in ["joined", "started-again", "changed", "gone"] {
-            let of: Vec<&ServerId> =
+            let ids: Vec<&ServerId> =
                 lines.iter().filter(|line| line.event() == event).map(Line::server).collect();
-            if !of.is_empty() {
-                let named: Vec<String> = of.iter().take(NAMED).map(ToString::to_string).collect();
-                tracing::info!(part = "servers", event, count = of.len(), servers = %named.join(" "));
+            if !ids.is_empty() {
+                let named: Vec<String> =
+                    ids.iter().take(MAX_NAMES_PER_LINE).map(ToString::to_string).collect();
+                tracing::info!(part = "servers", event, count = ids.len(), servers = %named.join(" "));
             }
         }
     }
--- a/crates/jacinthbeam-host/src/process/sockets.rs
+++ b/crates/jacinthbeam-host/src/process/sockets.rs
@@ -1,4 +1,4 @@
-//! The sockets of a host, bound before anything else starts, so that a clash ends the process with a clear line.
+//! The listening sockets of a host, bound before anything else starts, so that an address in use ends the process with a clear error.
 
 use std::{
     io,
@@ -8,14 +8,13 @@
 use super::Error;
 use crate::Settings;
 
-/// How often another port is tried for other hosts, if any port will do.
+/// Attempts to find a port for other hosts if the settings give port 0.
 ///
-/// They send datagrams and connect to the same number, and the one that is free for datagrams may be taken for connections. At
-/// most a few thousand of the 28,000 ports that Linux gives out are in use on one machine, so that 16 failures in a row are less
-/// likely than one in 10^9.
-const TRIES: usize = 16;
+/// UDP and TCP use the same port number, and a port that is free for UDP may be in use for TCP. At most a few thousand of the
+/// 28,000 ephemeral ports of Linux are in use on one machine, so 16 failures in a row are less likely than one in 10^9.
+const MAX_BIND_ATTEMPTS: usize = 16;
 
-/// Everything that a host listens at.
+/// The listening sockets of a host.
 #[derive(Debug)]
 pub struct Sockets {
     pub(super) callers: TcpListener,
@@ -26,9 +25,9 @@
 }
 
 impl Sockets {
-    /// Binds the addresses of `settings`. Each port 0 there is replaced by the free port that was bound.
+    /// Binds the addresses of `settings`, and replaces each port 0 there by the port that was bound.
     ///
-    /// A port that is looked up first and bound later may be given to a connection in between.
+    /// Binding port 0 avoids a race: a free port that is looked up first and bound later may be assigned to a connection in between.
     pub fn bind(settings: &mut Settings) -> Result<Self, Error> {
         let (reports, news) = bind_peers(&mut settings.peers)?;
         Ok(Self {
@@ -42,15 +41,15 @@
 }
 
 fn bind_peers(addr: &mut SocketAddr) -> Result<(UdpSocket, TcpListener), Error> {
-    let given = *addr;
-    let mut tries = if given.port() == 0 { TRIES } else { 1 };
+    let requested = *addr;
+    let mut attempts = if requested.port() == 0 { MAX_BIND_ATTEMPTS } else { 1 };
     loop {
-        tries -= 1;
-        *addr = given;
+        attempts -= 1;
+        *addr = requested;
         let reports = bind_datagrams(addr)?;
         match listen("other hosts", addr) {
             Ok(news) => return Ok((reports, news)),
-            Err(err) if tries == 0 => return Err(err),
+            Err(err) if attempts == 0 => return Err(err),
             Err(err) => {
                 tracing::debug!(part = "process", event = "port-taken", error = %err)
             }
--- a/crates/jacinthbeam-host/src/process/usage.rs
+++ b/crates/jacinthbeam-host/src/process/usage.rs
@@ -1,9 +1,10 @@
-//! What requests count against their teams.
+//! Usage accounting: the requests charged to each team.
 //!
 //! A request counts once for the team of its service, however often it was sent: as run if a backend server answered it, as
-//! perhaps run if nobody knows, and not at all if it surely did not run. Each life of a process keeps its own totals and records
-//! them in the store under its own name, so that no two writers meet and the sum of all records is the use of a team. A
-//! process that is lost takes with it what it counted since its last record, [`RECORD_EVERY`] at the most.
+//! possibly run if its outcome is unknown, and not at all if it certainly did not run. Each incarnation of a process keeps its own
+//! totals and records them in the store under its own key, so that no two processes write the same record and the sum of all
+//! records is the usage of a team. A process that crashes loses what it counted since its last record, at most
+//! [`RECORD_EVERY`].
 
 use std::{
     cell::Cell,
@@ -19,7 +20,7 @@
 
 use crate::send_outcome::SendOutcome;
 
-/// Pause between two records of the totals: what a lost process can cost, against one call to the store.
+/// Pause between two records of the totals. A longer pause loses more counts in a crash, a shorter one costs more store calls.
 pub const RECORD_EVERY: Duration = Duration::from_secs(5);
 
 /// Requests of one team for one service.
@@ -27,7 +28,7 @@
 pub struct Count {
     /// Answered by a backend server.
     pub ran: u64,
-    /// Sent, and their fate is not known.
+    /// Sent, with unknown outcome.
     pub may_have_run: u64,
 }
 
@@ -40,21 +41,21 @@
     pub fn add(&mut self, other: &Self) {
         for (team, services) in &other.0 {
             for (service, count) in services {
-                let mine =
+                let total =
                     self.0.entry(team.clone()).or_default().entry(service.clone()).or_default();
-                mine.ran += count.ran;
-                mine.may_have_run += count.may_have_run;
+                total.ran += count.ran;
+                total.may_have_run += count.may_have_run;
             }
         }
     }
 
-    /// The totals as recorded in the store.
+    /// Encodes the totals for the store.
     pub fn to_bytes(&self) -> Vec<u8> {
         let cfg = bincode::config::standard();
         bincode::serde::encode_to_vec(self, cfg).expect("names and numbers can always be encoded")
     }
 
-    /// Reads back what [`Usage::to_bytes`] gave.
+    /// Decodes the result of [`Usage::to_bytes`].
     pub fn from_bytes(bytes: &[u8]) -> Result<Self, bincode::error::DecodeError> {
         Ok(bincode::serde::decode_from_slice(bytes, bincode::config::standard())?.0)
     }
@@ -70,43 +71,43 @@
         add(usage.0.entry(team.clone()).or_default().entry(service.clone()).or_default());
     }
 
-    /// The totals now.
+    /// Returns a copy of the current totals.
     pub fn get(&self) -> Usage {
         self.0.lock().expect("no holder of the lock panics").clone()
     }
 }
 
-/// What became of one request at backend servers; counts it when dropped.
+/// Tracks the outcomes of one request at backend servers, and counts the request when dropped.
 ///
-/// A request goes on at its server after its caller has left, and ends in a task of its own. Counting where the caller is
-/// answered would miss it.
+/// A request continues at its server after its caller has disconnected, and ends in a task of its own. Counting at the
+/// response to the caller would miss it.
 #[derive(Debug)]
 pub struct Use {
-    of: Option<(Counted, TeamName, ServiceName)>,
-    open: Cell<u32>,
+    account: Option<(Counted, TeamName, ServiceName)>,
+    in_flight: Cell<u32>,
     ran: Cell<bool>,
     may_have_run: Cell<bool>,
 }
 
 impl Use {
-    /// A request that was sent nowhere yet. Without a team it counts for nobody.
+    /// A request that hasn't been sent yet. Without a team it isn't counted.
     pub fn new(counted: &Counted, team: Option<&TeamName>, service: &ServiceName) -> Self {
         Self {
-            of: team.map(|team| (counted.clone(), team.clone(), service.clone())),
-            open: Cell::default(),
+            account: team.map(|team| (counted.clone(), team.clone(), service.clone())),
+            in_flight: Cell::default(),
             ran: Cell::default(),
             may_have_run: Cell::default(),
         }
     }
 
-    /// The request is sent to a server.
+    /// Must be called when the request is sent to a server.
     pub fn begin(&self) {
-        self.open.set(self.open.get() + 1);
+        self.in_flight.set(self.in_flight.get() + 1);
     }
 
-    /// What became of it there.
+    /// Must be called with the outcome of each send that began.
     pub fn end(&self, sent: &SendOutcome) {
-        self.open.set(self.open.get() - 1);
+        self.in_flight.set(self.in_flight.get() - 1);
         match sent {
             SendOutcome::Answered { .. } => self.ran.set(true),
             SendOutcome::Lost(_) => self.may_have_run.set(true),
@@ -117,10 +118,10 @@
 
 impl Drop for Use {
     fn drop(&mut self) {
-        let Some((counted, team, service)) = &self.of else { return };
+        let Some((counted, team, service)) = &self.account else { return };
         if self.ran.get() {
             counted.count(team, service, |count| count.ran += 1);
-        } else if self.may_have_run.get() || self.open.get() > 0 {
+        } else if self.may_have_run.get() || self.in_flight.get() > 0 {
             counted.count(team, service, |count| count.may_have_run += 1);
         }
     }
@@ -130,14 +131,14 @@
 pub(super) struct Recorder {
     pub(super) lane: Lane,
     pub(super) to: Partition,
-    /// Name of this life of the process.
+    /// Identifies this incarnation of the process.
     pub(super) key: String,
     pub(super) counted: Counted,
     pub(super) recorded: Usage,
 }
 
 impl Recorder {
-    /// Records the totals from time to time, for ever.
+    /// Records the totals every [`RECORD_EVERY`]. Runs forever.
     pub(super) async fn run(mut self) {
         loop {
             tokio::time::sleep(RECORD_EVERY).await;
@@ -155,7 +156,7 @@
         let call = Call::Put { to: self.to.clone(), key: self.key.clone(), value, only_at: None };
         match self.lane.call(&call).await {
             Ok(_) => self.recorded = usage,
-            // The totals only grow, so the next record holds what this one lacks.
+            // The totals only grow, so the next record makes up for this one.
             Err(err) => tracing::warn!(part = "usage", event = "not-recorded", error = %err),
         }
     }
