--- a/crates/jacinthbeam-host/tests/inbox.rs
+++ b/crates/jacinthbeam-host/tests/inbox.rs
@@ -1,4 +1,4 @@
-//! What waits for the control thread, and in which order it is taken.
+//! The order in which the control thread processes its inputs.
 
 use std::time::{Duration, Instant};
 
@@ -21,88 +21,88 @@
     }
 }
 
-/// Inputs that a host which grants the keys of 167 servers to 83 hosts gets in a second: reports of load, answers to grants.
-const A_SECOND: u32 = 700;
+/// Inputs per second of a grantor with 167 servers and 83 hosts: load reports and responses to grants.
+const INPUTS_PER_SECOND: u32 = 700;
 
-/// Time that a host takes for one of them, assumed: it has just enough processor for what comes, and works off no backlog.
-const TAKES: Duration = Duration::from_micros(1430);
+/// Assumed processing time of one input. At this value the host just keeps up with its inputs and can't reduce a backlog.
+const TIME_PER_INPUT: Duration = Duration::from_micros(1430);
 
 fn add(inbox: &mut Inbox<Input>, input: Input, since: Instant) {
     inbox.push(Waiting { input, since });
 }
 
-/// Callers are refused with 404 since their route is not known, 2.5 s after the operator was told that it is in force, at one host.
+/// Guards against a host that refused requests with 404 for an unknown route 2.5 s after the operator was told that the configuration
+/// was in force.
 ///
-/// The host has begun to grant the keys of a large service, and has a tenth of a core. What it has to do for each report and each
-/// answer piles up, three seconds of it. A configuration that comes then waits behind all of that, while the traffic thread goes on
-/// with the older one. In plays of such a day it was only the granting host that heard late, and a wait of what the store says and the
-/// age of what the host knew grew together.
+/// The host had become the grantor of a large service, with a tenth of a core, and had a backlog of three seconds of load reports
+/// and responses. A configuration that arrived then waited behind the backlog, while the traffic thread used the older one. In
+/// simulations only the grantor was late, and the wait of store state in its queue grew together with the staleness of its data.
 #[test]
-fn what_the_store_says_is_taken_before_whatever_waits() {
-    let begun = Instant::now();
+fn store_state_is_processed_before_the_backlog() {
+    let start = Instant::now();
     let mut inbox = Inbox::new(kind);
-    (0..3 * A_SECOND).for_each(|n| add(&mut inbox, Input::Answer(n), begun));
-    add(&mut inbox, Input::Config, begun);
+    (0..3 * INPUTS_PER_SECOND).for_each(|n| add(&mut inbox, Input::Answer(n), start));
+    add(&mut inbox, Input::Config, start);
 
-    let mut now = begun;
+    let mut now = start;
     while !inbox.is_empty() {
         for waiting in inbox.next_batch() {
             if waiting.input == Input::Config {
-                let waited = now - begun;
+                let waited = now - start;
                 assert!(waited < Duration::from_millis(100), "the configuration waited {waited:?}");
                 return;
             }
-            now += TAKES;
+            now += TIME_PER_INPUT;
         }
     }
-    panic!("the configuration was not taken");
+    panic!("the configuration was not processed");
 }
 
-/// The same host hears of a configuration while it does what has piled up. It looks at what came only between two rounds, so a round has
-/// to be short.
+/// Guards against a configuration that waits for a long batch: new inputs are looked at only between two batches.
 #[test]
-fn what_the_store_says_waits_for_a_short_round_only() {
-    let begun = Instant::now();
+fn a_batch_of_a_backlog_is_short() {
+    let start = Instant::now();
     let mut inbox = Inbox::new(kind);
-    (0..3 * A_SECOND).for_each(|n| add(&mut inbox, Input::Answer(n), begun));
-    let round = inbox.next_batch().len() as u32 * TAKES;
-    assert!(round < Duration::from_millis(100), "a round takes {round:?}");
+    (0..3 * INPUTS_PER_SECOND).for_each(|n| add(&mut inbox, Input::Answer(n), start));
+    let batch_time = inbox.next_batch().len() as u32 * TIME_PER_INPUT;
+    assert!(batch_time < Duration::from_millis(100), "a batch takes {batch_time:?}");
 }
 
-/// A tick says that time has passed; one is as good as many.
+/// Guards against a backlog of ticks. A tick only says that time has passed, so one replaces all that are queued.
 #[test]
-fn ticks_that_wait_are_one() {
-    let begun = Instant::now();
+fn queued_ticks_are_merged() {
+    let start = Instant::now();
     let mut inbox = Inbox::new(kind);
     for n in 0..3 {
-        add(&mut inbox, Input::Tick, begun);
-        add(&mut inbox, Input::Answer(n), begun);
+        add(&mut inbox, Input::Tick, start);
+        add(&mut inbox, Input::Answer(n), start);
     }
-    let taken: Vec<Input> = inbox.next_batch().into_iter().map(|waiting| waiting.input).collect();
-    assert_eq!(taken.iter().filter(|input| **input == Input::Tick).count(), 1);
-    assert_eq!(taken.len(), 4);
+    let processed: Vec<Input> =
+        inbox.next_batch().into_iter().map(|waiting| waiting.input).collect();
+    assert_eq!(processed.iter().filter(|input| **input == Input::Tick).count(), 1);
+    assert_eq!(processed.len(), 4);
 }
 
-/// A host that grants has no time for all that 83 others tell it of their load four times a second. What they saw lately counts, so the
-/// oldest is left out, and what it has to do for its own grants is not.
+/// Guards against load reports that crowd out the grants of a grantor. It can't process all reports of 83 hosts, four per second each.
+/// The latest ones matter, so the oldest are dropped, and responses to grants never are.
 #[test]
-fn of_too_many_reports_the_oldest_are_left_out() {
-    let begun = Instant::now();
+fn the_oldest_load_reports_are_dropped_first() {
+    let start = Instant::now();
     let mut inbox = Inbox::new(kind);
-    let left_out =
-        (0..2000).filter(|n| inbox.push(Waiting { input: Input::Load(*n), since: begun }));
-    let left_out = left_out.count();
-    (0..100).for_each(|n| add(&mut inbox, Input::Answer(n), begun));
-    let mut taken = Vec::new();
+    let dropped =
+        (0..2000).filter(|n| inbox.push(Waiting { input: Input::Load(*n), since: start }));
+    let dropped = dropped.count();
+    (0..100).for_each(|n| add(&mut inbox, Input::Answer(n), start));
+    let mut processed = Vec::new();
     while !inbox.is_empty() {
-        taken.extend(inbox.next_batch().into_iter().map(|waiting| waiting.input));
+        processed.extend(inbox.next_batch().into_iter().map(|waiting| waiting.input));
     }
-    let loads = taken.iter().filter(|input| matches!(input, Input::Load(_)));
-    assert_eq!(loads.clone().count() + left_out, 2000);
+    let loads = processed.iter().filter(|input| matches!(input, Input::Load(_)));
+    assert_eq!(loads.clone().count() + dropped, 2000);
     assert_eq!(
         loads.max_by_key(|input| if let Input::Load(n) = input { *n } else { 0 }),
         Some(&Input::Load(1999))
     );
-    assert!(left_out > 1000);
-    assert_eq!(taken.iter().filter(|input| matches!(input, Input::Answer(_))).count(), 100);
+    assert!(dropped > 1000);
+    assert_eq!(processed.iter().filter(|input| matches!(input, Input::Answer(_))).count(), 100);
 }
--- a/crates/jacinthbeam-host/tests/logs.rs
+++ b/crates/jacinthbeam-host/tests/logs.rs
@@ -1,4 +1,4 @@
-//! Lines of the log: bounded, never in the way, and enough to tell the story of a request.
+//! Log lines: bounded, never blocking, and sufficient for the timeline of a request.
 
 use std::{
     io::{self, Write},
@@ -19,16 +19,16 @@
 use jacinthbeam_types::prelude::*;
 use tracing_subscriber::fmt::MakeWriter;
 
-/// An output that is read by nobody until it is told to go on.
+/// An output whose writes block until the test allows each of them.
 struct Stuck {
-    go_on: mpsc::Receiver<()>,
-    seen: mpsc::Sender<Vec<u8>>,
+    permits: mpsc::Receiver<()>,
+    sent: mpsc::Sender<Vec<u8>>,
 }
 
 impl Write for Stuck {
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
-        self.go_on.recv().map_err(io::Error::other)?;
-        self.seen.send(buf.to_vec()).map_err(io::Error::other)?;
+        self.permits.recv().map_err(io::Error::other)?;
+        self.sent.send(buf.to_vec()).map_err(io::Error::other)?;
         Ok(buf.len())
     }
 
@@ -41,15 +41,15 @@
     queue.make_writer().write_all(text.as_bytes()).unwrap();
 }
 
-/// Whoever reads standard output has stopped. Lines are dropped then, and serving goes on; once somebody reads again, the log
-/// says how many lines are missing.
+/// Guards against a host that blocks when the reader of its standard output stops reading. Lines are dropped instead, and the log
+/// says how many are missing once it is read again.
 #[test]
-fn a_flood_that_nobody_reads_holds_up_nothing_and_is_counted() {
+fn lines_are_dropped_and_counted_while_the_output_is_blocked() {
     let (queue, lines) = Queue::new(10);
-    let (go_on, may_go_on) = mpsc::channel();
-    let (seen, written) = mpsc::channel();
-    let end = queue.clone();
-    std::thread::spawn(move || end.write_to(&lines, Stuck { go_on: may_go_on, seen }));
+    let (permits, may_go_on) = mpsc::channel();
+    let (sent, written) = mpsc::channel();
+    let writer = queue.clone();
+    std::thread::spawn(move || writer.write_to(&lines, Stuck { permits: may_go_on, sent }));
     (0..1000).for_each(|n| say(&queue, &format!("{n}\n")));
     drop(queue);
     let mut text = String::new();
@@ -61,20 +61,21 @@
     };
     // Each line is either written or counted, once.
     while accounted(&text).0 + accounted(&text).1 < 1000 {
-        go_on.send(()).unwrap();
+        permits.send(()).unwrap();
         text += std::str::from_utf8(&written.recv().unwrap()).unwrap();
     }
     let (whole, dropped) = accounted(&text);
     assert!(whole + dropped == 1000 && whole >= 10, "{whole} written, {dropped} dropped");
 }
 
+/// Guards against lines of one kind that flood the log, and against lines left out without a count.
 #[test]
-fn a_quota_bounds_a_kind_and_tells_what_it_left_out() {
-    let begun = Instant::now();
+fn a_quota_limits_lines_and_reports_how_many_it_left_out() {
+    let start = Instant::now();
     let mut quota = Quota::new(3);
-    let taken: Vec<_> = (0..5).map(|_| quota.take(begun)).collect();
-    assert_eq!(taken, [Some(0), Some(0), Some(0), None, None]);
-    assert_eq!(quota.take(begun + Duration::from_millis(1100)), Some(2));
+    let allowed: Vec<_> = (0..5).map(|_| quota.take(start)).collect();
+    assert_eq!(allowed, [Some(0), Some(0), Some(0), None, None]);
+    assert_eq!(quota.take(start + Duration::from_millis(1100)), Some(2));
 }
 
 fn line(host: &str, second: &str, rest: &str) -> Line {
@@ -82,8 +83,9 @@
     Line::read(host, &text).unwrap()
 }
 
+/// Guards against a timeline that lacks lines about the servers of its request, or has lines about others.
 #[test]
-fn a_story_holds_what_was_said_of_its_servers() {
+fn a_timeline_includes_lines_about_the_servers_of_its_request() {
     let lines = vec![
         line(
             "h1",
@@ -103,10 +105,10 @@
         line("h1", "40.0", r#""part":"grant","event":"release","server":"i-1""#),
         line("h1", "05.5", r#""part":"request","event":"sent","id":"\"b2\"","server":"i-1""#),
     ];
-    let told: Vec<String> =
+    let shown: Vec<String> =
         timeline("a1", lines.clone()).unwrap().iter().map(Line::to_string).collect();
     assert_eq!(
-        told,
+        shown,
         [
             "2026-12-02T20:00:05.1Z h2 grant release range=4-9 server=i-1",
             "2026-12-02T20:00:05.4Z h1 request sent outcome=not-run server=i-1 took_ms=3",
@@ -118,17 +120,18 @@
     assert!(matches!(&unknown, Error::Unknown { id, lines: 9 } if id == "c3"), "{unknown}");
 }
 
+/// Guards against other output in a log file, such as a panic message, that fails the command.
 #[test]
-fn lines_that_are_no_objects_are_passed_over() {
+fn lines_that_are_not_json_objects_with_a_time_are_skipped() {
     assert_eq!(Line::read("h1", "thread panicked"), None);
     assert_eq!(Line::read("h1", "{\"part\":\"request\"}"), None);
 }
 
-/// A log that is kept.
+/// A writer that collects the log.
 #[derive(Clone, Default)]
-struct Kept(Arc<Mutex<Vec<u8>>>);
+struct Collected(Arc<Mutex<Vec<u8>>>);
 
-impl Write for Kept {
+impl Write for Collected {
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
         self.0.lock().unwrap().write(buf)
     }
@@ -138,23 +141,23 @@
     }
 }
 
-/// Lines that are written while `f` runs.
+/// Returns the lines logged while `f` runs.
 fn written(f: impl FnOnce()) -> Vec<String> {
-    let kept = Kept::default();
-    let writer = kept.clone();
+    let collected = Collected::default();
+    let writer = collected.clone();
     let logger = tracing_subscriber::fmt().json().flatten_event(true);
     let logger = logger.with_writer(move || writer.clone());
     tracing::subscriber::with_default(logger.finish(), f);
-    let text = String::from_utf8(std::mem::take(&mut *kept.0.lock().unwrap())).unwrap();
+    let text = String::from_utf8(std::mem::take(&mut *collected.0.lock().unwrap())).unwrap();
     text.lines().map(str::to_owned).collect()
 }
 
-/// A fleet of 295 hosts with 809 backend servers starts, and loses a failure domain. A line for each server at each host were 239,000 lines for
-/// the one and 47,000 for the other; each host has a core of a tenth to write them with.
+/// Guards against a flood of lines when a fleet starts or loses a failure domain. With 295 hosts and 809 backend servers, a line for
+/// each server at each host makes 239,000 lines at the start and 47,000 at the loss, and each host has a tenth of a core.
 #[test]
-fn many_servers_are_told_of_in_one_line() {
+fn a_large_batch_of_servers_is_logged_in_one_line() {
     let now = Instant::now();
-    let mut known = StoreReplica::default();
+    let mut replica = StoreReplica::default();
     let server = |n: u32| Server {
         id: format!("i-{n}").parse().unwrap(),
         service: "tiles".parse().unwrap(),
@@ -165,21 +168,22 @@
         warmup_left: Duration::ZERO,
         cold_rate: None,
     };
-    let take = |known: &mut StoreReplica, at: u64, of: std::ops::Range<u32>, there: bool| {
-        for n in of {
-            let name = format!("i-{n}").parse().unwrap();
-            let server = there.then(|| server(n));
-            known.apply_server(name, Offset(at), server, Leaving::Since(now));
-        }
-        known.mark_servers_current(Offset(at + 1), Some(now), true, now);
-    };
-    let start = written(|| take(&mut known, 0, 0..809, true));
+    let apply =
+        |replica: &mut StoreReplica, at: u64, numbers: std::ops::Range<u32>, present: bool| {
+            for n in numbers {
+                let name = format!("i-{n}").parse().unwrap();
+                let server = present.then(|| server(n));
+                replica.apply_server(name, Offset(at), server, Leaving::Since(now));
+            }
+            replica.mark_servers_current(Offset(at + 1), Some(now), true, now);
+        };
+    let start = written(|| apply(&mut replica, 0, 0..809, true));
     assert_eq!(start.len(), 1);
     assert!(start[0].contains(r#""event":"joined","count":809"#), "{}", start[0]);
-    let cut = written(|| take(&mut known, 1, 0..160, false));
+    let cut = written(|| apply(&mut replica, 1, 0..160, false));
     assert_eq!(cut.len(), 1);
     assert!(cut[0].contains(r#""event":"gone","count":160"#) && cut[0].contains(" i-159"));
-    let few = written(|| take(&mut known, 2, 200..203, false));
+    let few = written(|| apply(&mut replica, 2, 200..203, false));
     assert_eq!(few.len(), 3);
     assert!(few[2].contains(r#""event":"gone","server":"i-202""#), "{}", few[2]);
 }
--- a/crates/jacinthbeam-host/tests/sockets.rs
+++ b/crates/jacinthbeam-host/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! Which addresses a host listens at.
+//! The addresses that a host listens on.
 
 use std::{
     net::{Ipv4Addr, SocketAddr, TcpListener, UdpSocket},
@@ -33,12 +33,12 @@
     }
 }
 
-/// A host starts although the port that was free for it is taken.
+/// Guards against a host that fails to start since the port found free for it has been taken.
 ///
-/// Whoever looks for a free port, lets it go and names it to the host loses it now and then to a connection that is opened in
-/// between. Bound at once, it can't be lost.
+/// A free port that is looked up, released and then passed to the host is sometimes assigned to a connection in between. A port
+/// that the host chooses by binding it can't be lost.
 #[test]
-fn a_port_that_is_left_open_is_chosen_and_bound_at_once() {
+fn port_zero_is_replaced_by_a_bound_port() {
     let mut settings = settings(LOOPBACK);
     let _sockets = Sockets::bind(&mut settings).unwrap();
     let bound = [settings.callers, settings.ready, settings.peers, settings.metrics];
@@ -49,8 +49,9 @@
     assert!(UdpSocket::bind(settings.peers).is_err(), "no datagrams at {}", settings.peers);
 }
 
+/// Guards against a startup error that doesn't say which address is in use.
 #[test]
-fn a_port_that_is_taken_is_named() {
+fn an_address_in_use_is_named_in_the_error() {
     let other = UdpSocket::bind(LOOPBACK).unwrap();
     let taken = other.local_addr().unwrap();
     let failed = Sockets::bind(&mut settings(taken)).unwrap_err();
--- a/crates/jacinthbeam-host/tests/status.rs
+++ b/crates/jacinthbeam-host/tests/status.rs
@@ -1,4 +1,4 @@
-//! What a host says of itself.
+//! The status page of a host.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -27,27 +27,29 @@
     View { config: Some(Arc::new(Config { services, ..Config::default() })), ..View::default() }
 }
 
-/// A host refuses every request for a key, and `status` finds nothing wrong with it.
+/// Guards against a host that refuses every request for a key while `status` reports no fault.
 ///
-/// The host has read the configuration, and not yet the record of who owns the keys. It has no map then, as for a service whose
-/// keys have no owners, which any server may serve.
+/// The host has read the configuration but not yet the ownership map. It has no map then, just as for a service without keyed
+/// ownership, whose requests any server may serve.
 #[test]
-fn owners_that_were_not_read_yet_are_missing() {
-    let found = &services(&view(true))[&name("tiles")];
-    assert_eq!((&found.keys, found.unowned()), (&Keys::Unknown, KEY_COUNT));
+fn an_ownership_map_not_yet_read_counts_as_unowned() {
+    let status = &services(&view(true))[&name("tiles")];
+    assert_eq!((&status.keys, status.unowned()), (&Keys::Unknown, KEY_COUNT));
 }
 
+/// Guards against unowned keys reported for a service without keyed ownership.
 #[test]
-fn keys_without_owners_miss_none() {
-    let found = &services(&view(false))[&name("tiles")];
-    assert_eq!((&found.keys, found.unowned()), (&Keys::Shared, 0));
+fn a_service_without_keyed_ownership_has_no_unowned_keys() {
+    let status = &services(&view(false))[&name("tiles")];
+    assert_eq!((&status.keys, status.unowned()), (&Keys::Shared, 0));
 }
 
+/// Guards against unowned keys that `status` doesn't show.
 #[test]
-fn keys_that_nobody_owns_are_counted() {
+fn unowned_keys_are_counted() {
     let mut view = view(true);
     view.maps.insert(name("tiles"), Arc::new(Map::unowned()));
-    let found = &services(&view)[&name("tiles")];
-    assert!(matches!(found.keys, Keys::Owned(_)), "{found:?}");
-    assert_eq!(found.unowned(), KEY_COUNT);
+    let status = &services(&view)[&name("tiles")];
+    assert!(matches!(status.keys, Keys::Owned(_)), "{status:?}");
+    assert_eq!(status.unowned(), KEY_COUNT);
 }
