--- a/crates/jacinthbeam-host/tests/fleet/follow.rs
+++ b/crates/jacinthbeam-host/tests/fleet/follow.rs
@@ -1,4 +1,4 @@
-//! Hosts that go on with the answers of others: following, asking for help, and deciding what is next.
+//! Hosts that get their data from other hosts: following, asking for help, and choosing the next source.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -6,30 +6,30 @@
 use jacinthbeam_types::prelude::*;
 
 use super::{
-    ANSWER_WITHIN, CONNECT_WITHIN, FIRST_PORT, Fleet, LISTED_EVERY, LOOK_AGAIN, LOOK_AGAIN_LOST,
-    Process, STEP,
+    CONNECT_TIMEOUT_MS, FIRST_PORT, Fleet, LIST_UPDATE_MS, Process, RESPONSE_TIMEOUT_MS,
+    SOURCE_CHECK_LOST_MS, SOURCE_CHECK_MS, STEP_MS,
 };
 
 impl Fleet {
-    /// A host that goes on with the answers of another.
+    /// Lets host `n` receive from the host that it follows, or stop following it.
     pub(super) fn follow(&mut self, n: usize) {
-        let Some(of) = self.hosts[n].follows else { return };
-        if self.goes_on(n, of) {
+        let Some(peer) = self.hosts[n].follows else { return };
+        if self.keeps_following(n, peer) {
             return;
         }
-        let id = self.hosts[of].id.clone();
+        let id = self.hosts[peer].id.clone();
         let at = self.at();
-        let why = match self.hosts[of].process {
+        let why = match self.hosts[peer].process {
             Process::Runs => {
-                let answer = self.answer(of);
+                let answer = self.answer(peer);
                 self.hosts[n].sources.on_answer(&id, answer, false, at);
                 None
             }
             Process::Stopped => Some(NoAnswer::Refused),
             Process::Lost => {
                 let now = self.now;
-                let since = *self.hosts[n].silent_since.get_or_insert(now);
-                if now < since + ANSWER_WITHIN {
+                let since = *self.hosts[n].unresponsive_since.get_or_insert(now);
+                if now < since + RESPONSE_TIMEOUT_MS {
                     return;
                 }
                 Some(NoAnswer::Silent)
@@ -37,45 +37,45 @@
         };
         let host = &mut self.hosts[n];
         host.follows = None;
-        host.silent_since = None;
+        host.unresponsive_since = None;
         host.sources.on_lost();
         if let Some(why) = why {
             host.sources.on_no_answer(&id, why, at);
         }
     }
 
-    /// Takes what the host that `n` follows says, if that is still good.
-    fn goes_on(&mut self, n: usize, of: usize) -> bool {
-        let good =
-            self.hosts[of].process == Process::Runs && self.answer(of).can_be_followed(false);
-        if good {
-            self.hosts[n].silent_since = None;
-            self.hear(n, of);
+    /// Applies the update of the host that `n` follows if it can still be followed, and returns whether it can.
+    fn keeps_following(&mut self, n: usize, peer: usize) -> bool {
+        let can_follow =
+            self.hosts[peer].process == Process::Runs && self.answer(peer).can_be_followed(false);
+        if can_follow {
+            self.hosts[n].unresponsive_since = None;
+            self.receive(n, peer);
         }
-        good
+        can_follow
     }
 
-    fn hear(&mut self, n: usize, of: usize) {
-        let told = self.answer(of);
-        let at = self.now.saturating_sub(told.age.as_millis().min(u128::from(self.now)) as u64);
-        if self.hosts[n].heard.is_none_or(|(known, _)| known < at) && at > 0 {
-            self.hosts[n].heard = Some((at, told.steps.saturating_add(1)));
+    fn receive(&mut self, n: usize, peer: usize) {
+        let update = self.answer(peer);
+        let at = self.now.saturating_sub(update.age.as_millis().min(u128::from(self.now)) as u64);
+        if self.hosts[n].received.is_none_or(|(previous, _)| previous < at) && at > 0 {
+            self.hosts[n].received = Some((at, update.steps.saturating_add(1)));
         }
-        let known = self.hosts[n].neighbours.as_ref().map(|known| known.before.len());
-        let knows_all = known == Some(self.hosts[n].place);
-        if !knows_all && self.now.is_multiple_of(LISTED_EVERY) {
-            self.learn_hosts(n);
+        let before = self.hosts[n].neighbours.as_ref().map(|neighbours| neighbours.before.len());
+        let has_all = before == Some(self.hosts[n].position);
+        if !has_all && self.now.is_multiple_of(LIST_UPDATE_MS) {
+            self.update_neighbours(n);
         }
     }
 
-    /// A host that another one helps, while the store gives it no answers.
+    /// Lets host `n` receive from the host that helps it while the store doesn't respond to `n`.
     pub(super) fn help(&mut self, n: usize) {
-        let Some(of) = self.hosts[n].helper else { return };
-        let helps = self.hosts[of].process == Process::Runs && self.answer(of).helps();
-        if helps && !self.is_answered(n) {
-            return self.hear(n, of);
+        let Some(peer) = self.hosts[n].helper else { return };
+        let can_help = self.hosts[peer].process == Process::Runs && self.answer(peer).helps();
+        if can_help && !self.is_answered(n) {
+            return self.receive(n, peer);
         }
-        let (addr, at) = (self.hosts[of].entry.addr, self.at());
+        let (addr, at) = (self.hosts[peer].entry.addr, self.at());
         self.hosts[n].helper = None;
         self.hosts[n].wake_at = self.now;
         self.hosts[n].sources.on_no_help(addr, at);
@@ -83,54 +83,58 @@
 
     pub(super) fn decide(&mut self, n: usize) {
         let (at, now) = (self.at(), self.now);
-        let lost = self.hosts[n].direct && !self.is_answered(n);
+        let store_lost = self.hosts[n].direct && !self.is_answered(n);
         let rng = &mut self.rng;
         let cell = std::cell::RefCell::new(rng);
         let pick = |addrs: &[SocketAddr]| cell.borrow_mut().choice(addrs).copied();
         let host = &mut self.hosts[n];
-        let neighbours = host.neighbours.clone().expect("it is decided once the hosts are known");
-        match host.sources.next(at, &neighbours, lost, pick) {
+        let neighbours = host
+            .neighbours
+            .clone()
+            .expect("a source is chosen only once the list of hosts has been read");
+        match host.sources.next(at, &neighbours, store_lost, pick) {
             Action::Ask((id, addr)) => self.ask(n, &id, addr),
             Action::Wait(pause) => {
-                if lost {
+                if store_lost {
                     host.direct = false;
                 }
-                host.wake_at = now + (pause.as_millis() as u64).max(STEP);
+                host.wake_at = now + (pause.as_millis() as u64).max(STEP_MS);
             }
             Action::ReadStore => {
                 host.direct = true;
                 let answered = self.is_answered(n);
-                self.hosts[n].wake_at = now + if answered { LOOK_AGAIN } else { LOOK_AGAIN_LOST };
+                self.hosts[n].wake_at =
+                    now + if answered { SOURCE_CHECK_MS } else { SOURCE_CHECK_LOST_MS };
             }
             Action::AskForHelp(addr) => {
                 host.direct = true;
                 host.wake_at = u64::MAX;
-                let of = self.find(addr);
-                self.hosts[n].helper = Some(of);
+                let peer = self.host_at(addr);
+                self.hosts[n].helper = Some(peer);
             }
         }
     }
 
-    fn find(&self, addr: SocketAddr) -> usize {
+    fn host_at(&self, addr: SocketAddr) -> usize {
         usize::from(addr.port() - FIRST_PORT)
     }
 
     fn ask(&mut self, n: usize, id: &HostId, addr: SocketAddr) {
-        let (of, at) = (self.find(addr), self.at());
-        match self.hosts[of].process {
+        let (peer, at) = (self.host_at(addr), self.at());
+        match self.hosts[peer].process {
             Process::Runs => {
-                let (answer, reads) = (self.answer(of), self.is_answered(n));
-                self.hear(n, of);
+                let (answer, reads) = (self.answer(peer), self.is_answered(n));
+                self.receive(n, peer);
                 if self.hosts[n].sources.on_answer(id, answer, reads, at) {
-                    self.hosts[n].follows = Some(of);
+                    self.hosts[n].follows = Some(peer);
                     self.hosts[n].direct = false;
                     self.hosts[n].has_read = false;
                 }
             }
             Process::Stopped => self.hosts[n].sources.on_no_answer(id, NoAnswer::Refused, at),
             Process::Lost => {
-                self.hosts[n].wake_at = self.now + CONNECT_WITHIN;
-                let after = at + Duration::from_millis(CONNECT_WITHIN);
+                self.hosts[n].wake_at = self.now + CONNECT_TIMEOUT_MS;
+                let after = at + Duration::from_millis(CONNECT_TIMEOUT_MS);
                 self.hosts[n].sources.on_no_answer(id, NoAnswer::Silent, after);
             }
         }
--- a/crates/jacinthbeam-host/tests/fleet/host.rs
+++ b/crates/jacinthbeam-host/tests/fleet/host.rs
@@ -1,4 +1,4 @@
-//! One host of a fleet, as far as its news go.
+//! The state of one host of a fleet that matters for its source of updates.
 
 use jacinthbeam_host::process::peers::{HostEntry, order::Neighbours, source::SourceSelector};
 use jacinthbeam_types::prelude::*;
@@ -8,27 +8,29 @@
 pub(super) struct Host {
     pub(super) id: HostId,
     pub(super) entry: HostEntry,
-    /// Its place in the order of its domain.
-    pub(super) place: usize,
+    /// Index in the neighbour order of its domain.
+    pub(super) position: usize,
     pub(super) process: Process,
     pub(super) store: Store,
     pub(super) starts_at: u64,
-    /// When a new host begins to look for others.
+    /// When a new host first uses the list of hosts.
     pub(super) list_at: Option<u64>,
     pub(super) sources: SourceSelector,
     pub(super) neighbours: Option<Neighbours>,
     pub(super) follows: Option<usize>,
-    /// Whom it asks for help.
+    /// Host that it asks for help.
     pub(super) helper: Option<usize>,
-    /// When it began to hear nothing of whom it follows.
-    pub(super) silent_since: Option<u64>,
+    /// Since when the host that it follows has not responded.
+    pub(super) unresponsive_since: Option<u64>,
+    /// Whether it reads the store itself.
     pub(super) direct: bool,
     pub(super) has_read: bool,
     pub(super) next_read: u64,
     pub(super) wake_at: u64,
-    /// When the store answered it last, and what it heard of others.
+    /// Time of its last successful read of the store.
     pub(super) read_at: Option<u64>,
-    pub(super) heard: Option<(u64, u8)>,
+    /// Time of the store read behind its latest update from another host, and its hops from the host that read it.
+    pub(super) received: Option<(u64, u8)>,
 }
 
 impl Host {
@@ -36,7 +38,7 @@
         Self {
             id,
             entry,
-            place: 0,
+            position: 0,
             process: Process::Stopped,
             store: Store::Answers,
             starts_at: u64::MAX,
@@ -45,13 +47,13 @@
             neighbours: None,
             follows: None,
             helper: None,
-            silent_since: None,
+            unresponsive_since: None,
             direct: false,
             has_read: false,
             next_read: 0,
             wake_at: 0,
             read_at: None,
-            heard: None,
+            received: None,
         }
     }
 }
--- a/crates/jacinthbeam-host/tests/fleet/mod.rs
+++ b/crates/jacinthbeam-host/tests/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Hosts that follow a store, without network: what each decides is decided by the program's own code.
+//! Simulates hosts that replicate a store, without network. Each host chooses its source with the production code.
 
 mod follow;
 mod host;
@@ -18,37 +18,37 @@
 
 use host::Host;
 
-/// Milliseconds between two looks at each host; fewer looks at a fleet of thousands, since each takes time.
-const STEP: u64 = 10;
-const STEP_OF_LARGE: u64 = 50;
+/// Time step of the simulation, longer for fleets of thousands of hosts to bound the run time of the tests.
+const STEP_MS: u64 = 10;
+const LARGE_FLEET_STEP_MS: u64 = 50;
 
-/// First reads of a reader: the operator's records, two pages of servers, hosts, one map.
+/// Store calls of a host that begins to read: the operator's records, two pages of servers, hosts, one map.
 const FIRST_READS: usize = 5;
 
-/// Milliseconds between two reads of a reader, over all partitions.
-const READ_EVERY: u64 = 200;
+/// Interval between the store reads of a reader, over all partitions.
+const READ_INTERVAL_MS: u64 = 200;
 
-/// Milliseconds of the mean of the longest pauses between questions whether the store is back.
-const PROBE_EVERY: u64 = 750;
+/// Interval between probes of an unreachable store: the mean of the longest randomized pauses.
+const MEAN_PROBE_INTERVAL_MS: u64 = 750;
 
-/// Milliseconds after which a call, a question, or an attempt to connect counts as unanswered.
-const CALL_WITHIN: u64 = 800;
-const ANSWER_WITHIN: u64 = 1000;
-const CONNECT_WITHIN: u64 = 250;
+/// Timeouts of a store call, of a request to another host, and of a connection attempt.
+const CALL_TIMEOUT_MS: u64 = 800;
+const RESPONSE_TIMEOUT_MS: u64 = 1000;
+const CONNECT_TIMEOUT_MS: u64 = 250;
 
-/// Milliseconds after which a host that asks the store looks for others, if it is answered and if not.
-const LOOK_AGAIN: u64 = 1000;
-const LOOK_AGAIN_LOST: u64 = 250;
+/// Pauses after which a host that reads the store looks for a host to follow, if the store responds and if it doesn't.
+const SOURCE_CHECK_MS: u64 = 1000;
+const SOURCE_CHECK_LOST_MS: u64 = 250;
 
-/// Milliseconds in which all that start together have put their entries.
-const SETTLE: u64 = 400;
+/// Time in which hosts that start together have all written their entries.
+const REGISTRATION_MS: u64 = 400;
 
-/// Milliseconds after which hosts that have come are known to those that follow others.
-const LISTED_EVERY: u64 = 200;
+/// Interval at which hosts that follow others learn of hosts that joined.
+const LIST_UPDATE_MS: u64 = 200;
 
 const FIRST_PORT: u16 = 1000;
 
-/// What the store does with the calls of a host.
+/// How the store responds to the calls of a host.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Store {
     Answers,
@@ -59,9 +59,9 @@
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Process {
     Runs,
-    /// Nothing listens; the machine says so.
+    /// Connections are refused.
     Stopped,
-    /// Nobody answers.
+    /// Connections and requests time out.
     Lost,
 }
 
@@ -72,12 +72,12 @@
     now: u64,
     hosts: Vec<Host>,
     listed: Vec<bool>,
-    /// The hosts of each failure domain in their order.
+    /// The hosts of each failure domain in neighbour order.
     domains: Vec<Vec<usize>>,
 }
 
 impl Fleet {
-    /// A fleet of which nothing runs. One host in 20 has more processor than the others, as where the users' fleets are large.
+    /// A fleet of stopped hosts. In fleets of more than 30 hosts, one in 20 has more processor, as in large production fleets.
     pub fn new(hosts: usize, domains: usize, seed: u64) -> Self {
         let make = |n: usize| {
             let large = hosts > 30 && (n / domains).is_multiple_of(20);
@@ -89,11 +89,11 @@
             Host::new(format!("h{n:04}").parse().unwrap(), entry)
         };
         let hosts: Vec<Host> = (0..hosts).map(make).collect();
-        let mut places = vec![Vec::new(); domains];
-        (0..hosts.len()).for_each(|n| places[n % domains].push(n));
-        for places in &mut places {
-            // Names are in the order of numbers.
-            places.sort_by_key(|n| std::cmp::Reverse(hosts[*n].entry.processor));
+        let mut members = vec![Vec::new(); domains];
+        (0..hosts.len()).for_each(|n| members[n % domains].push(n));
+        for members in &mut members {
+            // The sort is stable, and the order of host ids is that of their numbers.
+            members.sort_by_key(|n| std::cmp::Reverse(hosts[*n].entry.processor));
         }
         let mut fleet = Self {
             calls: 0,
@@ -102,47 +102,51 @@
             now: 0,
             listed: vec![false; hosts.len()],
             hosts,
-            domains: places,
+            domains: members,
         };
-        for places in &fleet.domains {
-            places.iter().enumerate().for_each(|(place, n)| fleet.hosts[*n].place = place);
+        for members in &fleet.domains {
+            members
+                .iter()
+                .enumerate()
+                .for_each(|(position, n)| fleet.hosts[*n].position = position);
         }
         fleet
     }
 
-    /// Starts all hosts that don't run, within so many milliseconds.
+    /// Starts all hosts that don't run, at random times within `within` milliseconds.
     pub fn start_all(&mut self, within: u64) {
         for host in self.hosts.iter_mut().filter(|host| host.process != Process::Runs) {
-            *host = Host { place: host.place, ..Host::new(host.id.clone(), host.entry.clone()) };
+            *host =
+                Host { position: host.position, ..Host::new(host.id.clone(), host.entry.clone()) };
             host.starts_at = self.now + self.rng.u64(0..within);
         }
     }
 
-    /// A fleet that has run for a while.
+    /// Starts all hosts and runs the fleet for three seconds.
     pub fn settle(&mut self) {
         self.start_all(300);
         self.run_for(3000);
     }
 
-    /// Hosts at such places in the order of their domain lose power.
-    pub fn kill(&mut self, of: impl Fn(usize) -> bool) {
-        self.end(of, Process::Lost);
+    /// Cuts the power of the hosts whose position in their domain is selected.
+    pub fn kill(&mut self, selects: impl Fn(usize) -> bool) {
+        self.end(selects, Process::Lost);
     }
 
-    /// The processes of such hosts end.
-    pub fn stop(&mut self, of: impl Fn(usize) -> bool) {
-        self.end(of, Process::Stopped);
+    /// Ends the processes of the hosts whose position in their domain is selected.
+    pub fn stop(&mut self, selects: impl Fn(usize) -> bool) {
+        self.end(selects, Process::Stopped);
     }
 
-    fn end(&mut self, of: impl Fn(usize) -> bool, process: Process) {
-        for host in self.hosts.iter_mut().filter(|host| of(host.place)) {
+    fn end(&mut self, selects: impl Fn(usize) -> bool, process: Process) {
+        for host in self.hosts.iter_mut().filter(|host| selects(host.position)) {
             host.process = process;
             host.starts_at = u64::MAX;
         }
     }
 
-    pub fn set_store(&mut self, of: impl Fn(usize) -> Store) {
-        self.hosts.iter_mut().enumerate().for_each(|(n, host)| host.store = of(n));
+    pub fn set_store(&mut self, store: impl Fn(usize) -> Store) {
+        self.hosts.iter_mut().enumerate().for_each(|(n, host)| host.store = store(n));
     }
 
     pub fn run_for(&mut self, span: u64) {
@@ -151,19 +155,19 @@
 
     pub fn run_to(&mut self, end: u64) {
         while self.now < end {
-            self.now += if self.hosts.len() > 1000 { STEP_OF_LARGE } else { STEP };
+            self.now += if self.hosts.len() > 1000 { LARGE_FLEET_STEP_MS } else { STEP_MS };
             let mut order: Vec<usize> = (0..self.hosts.len()).collect();
             self.rng.shuffle(&mut order);
             order.into_iter().for_each(|n| self.step(n));
         }
     }
 
-    /// Hosts that ask the store.
+    /// Number of hosts that read the store.
     pub fn readers(&self) -> usize {
         self.hosts.iter().filter(|host| host.process == Process::Runs && host.direct).count()
     }
 
-    /// Milliseconds since the host that is furthest behind has heard of the store.
+    /// Staleness of the data of the host that is furthest behind, in milliseconds.
     pub fn oldest(&self) -> u64 {
         let runs = (0..self.hosts.len()).filter(|n| self.hosts[*n].process == Process::Runs);
         runs.map(|n| self.age(n)).max().unwrap_or_default()
@@ -175,7 +179,7 @@
 
     fn age(&self, n: usize) -> u64 {
         let host = &self.hosts[n];
-        let at = host.read_at.max(host.heard.map(|(at, _)| at));
+        let at = host.read_at.max(host.received.map(|(at, _)| at));
         at.map_or(u64::MAX, |at| self.now - at)
     }
 
@@ -189,17 +193,17 @@
 
     fn answer(&self, n: usize) -> Answer {
         let host = &self.hosts[n];
-        let heard = host.heard.map_or(u8::MAX, |(_, steps)| steps);
+        let received = host.received.map_or(u8::MAX, |(_, steps)| steps);
         Answer {
             age: Duration::from_millis(self.age(n)),
-            steps: if self.is_fresh(host.read_at) { 0 } else { heard },
+            steps: if self.is_fresh(host.read_at) { 0 } else { received },
             asks_store: host.direct,
         }
     }
 
     fn neighbours(&self, n: usize, listed: &[bool]) -> Neighbours {
         let (id, entry) = (&self.hosts[n].id, &self.hosts[n].entry);
-        let hosts = self.of_interest(n, listed);
+        let hosts = self.relevant_hosts(n, listed);
         Neighbours::of(id, entry, hosts.into_iter().map(|host| (&host.id, &host.entry)))
     }
 
@@ -212,7 +216,7 @@
         }
         if self.hosts[n].list_at.is_some_and(|at| self.now >= at) {
             self.hosts[n].list_at = None;
-            self.learn_hosts(n);
+            self.update_neighbours(n);
         }
         if self.hosts[n].direct {
             self.read(n);
@@ -227,7 +231,7 @@
         }
     }
 
-    /// Reads the list of hosts, and puts an entry there if there is none.
+    /// Starts a host, which reads the list of hosts and adds its own entry if that is missing.
     fn start(&mut self, n: usize) {
         let host = &mut self.hosts[n];
         host.process = Process::Runs;
@@ -236,23 +240,23 @@
         let listed = Changes { items, end: Offset(0), whole: true };
         let (id, entry) = (self.hosts[n].id.clone(), self.hosts[n].entry.clone());
         if order::has(&id, &entry, &listed) {
-            return self.learn_hosts(n);
+            return self.update_neighbours(n);
         }
         self.calls += 1;
         self.listed[n] = true;
         if order::is_first(&id, &entry, &listed) {
             self.calls += 1;
         }
-        self.hosts[n].list_at = Some(self.now + SETTLE);
+        self.hosts[n].list_at = Some(self.now + REGISTRATION_MS);
     }
 
-    /// The list of hosts as far as it matters to one: its own domain, and the first ones of the others.
-    fn of_interest(&self, n: usize, listed: &[bool]) -> Vec<&Host> {
+    /// The listed hosts that are relevant to host `n`: those of its own domain, and the first ones of each other domain.
+    fn relevant_hosts(&self, n: usize, listed: &[bool]) -> Vec<&Host> {
         let mut hosts = Vec::new();
-        for (domain, places) in self.domains.iter().enumerate() {
-            let most = if n % self.domains.len() == domain { places.len() } else { 4 };
-            let listed = places.iter().filter(|of| listed[**of]).take(most);
-            hosts.extend(listed.map(|of| &self.hosts[*of]));
+        for (domain, members) in self.domains.iter().enumerate() {
+            let max = if n % self.domains.len() == domain { members.len() } else { 4 };
+            let listed = members.iter().filter(|host| listed[**host]).take(max);
+            hosts.extend(listed.map(|host| &self.hosts[*host]));
         }
         hosts
     }
@@ -263,14 +267,14 @@
             value: host.entry.to_bytes().into(),
             offset: Offset(0),
         };
-        self.of_interest(n, &self.listed).into_iter().map(item).collect()
+        self.relevant_hosts(n, &self.listed).into_iter().map(item).collect()
     }
 
-    fn learn_hosts(&mut self, n: usize) {
+    fn update_neighbours(&mut self, n: usize) {
         self.hosts[n].neighbours = Some(self.neighbours(n, &self.listed));
     }
 
-    /// A host that asks the store itself.
+    /// Reads the store as host `n`, if its next read is due.
     fn read(&mut self, n: usize) {
         if self.now < self.hosts[n].next_read {
             return;
@@ -279,14 +283,14 @@
         self.calls += if first { FIRST_READS } else { 1 };
         let host = &mut self.hosts[n];
         let pause = match host.store {
-            Store::Answers => READ_EVERY,
-            Store::Refuses => PROBE_EVERY,
-            Store::Silent => CALL_WITHIN + PROBE_EVERY,
+            Store::Answers => READ_INTERVAL_MS,
+            Store::Refuses => MEAN_PROBE_INTERVAL_MS,
+            Store::Silent => CALL_TIMEOUT_MS + MEAN_PROBE_INTERVAL_MS,
         };
         host.next_read = self.now + pause;
         if host.store == Store::Answers {
             host.read_at = Some(self.now);
-            self.learn_hosts(n);
+            self.update_neighbours(n);
         }
     }
 }
--- a/crates/jacinthbeam-host/tests/logs.rs
+++ b/crates/jacinthbeam-host/tests/logs.rs
@@ -46,10 +46,10 @@
 #[test]
 fn lines_are_dropped_and_counted_while_the_output_is_blocked() {
     let (queue, lines) = Queue::new(10);
-    let (permits, may_go_on) = mpsc::channel();
+    let (permits, permitted) = mpsc::channel();
     let (sent, written) = mpsc::channel();
     let writer = queue.clone();
-    std::thread::spawn(move || writer.write_to(&lines, Stuck { permits: may_go_on, sent }));
+    std::thread::spawn(move || writer.write_to(&lines, Stuck { permits: permitted, sent }));
     (0..1000).for_each(|n| say(&queue, &format!("{n}\n")));
     drop(queue);
     let mut text = String::new();
