--- a/crates/jacinthbeam-dispatch/src/lib.rs
+++ b/crates/jacinthbeam-dispatch/src/lib.rs
@@ -2,8 +2,7 @@
 //! refusal.
 //!
 //! Every decision uses only what this host has observed itself: the latency of each server, the requests that it has in flight
-//! there, and what the server refused. There is no I/O, and callers pass in the time. The reason for each figure is given at
-//! its constant.
+//! there, and what the server refused. There is no I/O, and callers pass in the time.
 
 pub mod budget;
 pub mod choose;
--- a/crates/jacinthbeam-dispatch/src/refusal.rs
+++ b/crates/jacinthbeam-dispatch/src/refusal.rs
@@ -13,7 +13,7 @@
 /// Objectives are about three times the processing time, so a slot or two become free within a quarter of the objective, and
 /// the rest still suffices for a timely answer. With a fixed hint of 250 ms, every such request with an objective of 400 ms was
 /// late. Where all servers of a service refuse half of their requests for eight seconds, the relative hint earns 2 % more of
-/// the possible revenue (eight simulation runs).
+/// the possible revenue.
 const OVERLOAD_DELAY_SHARE: f64 = 0.25;
 
 /// Expected time until a server has capacity again for a request with this objective that was refused as overloaded.
--- a/crates/jacinthbeam-dispatch/src/server.rs
+++ b/crates/jacinthbeam-dispatch/src/server.rs
@@ -140,7 +140,7 @@
 
     /// Mean latency, decayed by the time since this host's last request to the server, so that an idle server is tried again.
     ///
-    /// Only if the host `explores` the server, which is left to hosts in the server's own failure domain: traffic between
+    /// Decays only if `explores`, which is set for servers in the host's own failure domain and preferred subset: traffic between
     /// domains is charged by the byte, and exploring all servers everywhere cost a sixth more of it.
     fn decayed_mean(&self, now: Instant, explores: bool) -> Duration {
         let last_request = self.last_request.filter(|_| explores && self.started.is_empty());
--- a/crates/jacinthbeam-dispatch/src/slow_start.rs
+++ b/crates/jacinthbeam-dispatch/src/slow_start.rs
@@ -9,7 +9,7 @@
 
 use jacinthbeam_types::prelude::*;
 
-/// How far the operator allows a cold server to get more than its configured rate.
+/// By how much the rate limit of a cold server may be exceeded.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bounds {
     /// Factor on the rate.
--- a/crates/jacinthbeam-dispatch/tests/budget.rs
+++ b/crates/jacinthbeam-dispatch/tests/budget.rs
@@ -53,7 +53,7 @@
             }
             let within = |at: &&Instant, span: u64| now - **at <= Duration::from_secs(span);
             let sent = retries.iter().filter(|at| within(at, 10)).count();
-            // The requests of the window or of the one before it count, whichever are more.
+            // Retries of the last 10 s are bounded by the requests of the last 12 s.
             let requested = requests.iter().filter(|at| within(at, 12)).count();
             assert!(sent as f64 <= 0.2 * requested as f64 + 64.0 / 12.0, "{sent} of {requested}");
         }
--- a/crates/jacinthbeam-dispatch/tests/choose.rs
+++ b/crates/jacinthbeam-dispatch/tests/choose.rs
@@ -21,8 +21,8 @@
 
 /// Guards against requests that pile up until their deadlines at a server that has suddenly become slow.
 ///
-/// The server works twelve times as slowly as before. While it returns no answers its mean stays low, and with only a request
-/// or two of each host in its queue it would still look like the best choice.
+/// While the server returns no answers its mean stays low, and with only a request or two of each host in its queue it would
+/// still look like the best choice. Here its request in flight is several times as old as its mean latency.
 #[test]
 fn a_server_that_has_become_slow_is_avoided_before_it_answers() {
     let now = Instant::now();
--- a/crates/jacinthbeam-dispatch/tests/load.rs
+++ b/crates/jacinthbeam-dispatch/tests/load.rs
@@ -1,10 +1,14 @@
 //! Simulates high load on services without keys, to compare load balancing from a host's own observations with more
 //! informed strategies.
 //!
-//! Two scenarios: orders at 85 % of the capacity of twelve servers (1.7 times the usual 62 per second), with 0.29 s of work each
-//! and a spread of a half, two thirds of the servers slower than the others, and three slots and a queue of twelve each, through
-//! twelve hosts that each send a twelfth; and one failure domain of a large deployment at 76 % of its capacity, through 59 hosts
-//! that each send a sixtieth. Four strategies choose servers by the same expected latency:
+//! There are two scenarios:
+//!
+//! - Orders at 85 % of the capacity of twelve servers, 1.7 times the usual 62 per second. An order takes 0.29 s of work with a
+//!   spread of a half. Each of twelve hosts sends a twelfth.
+//! - One failure domain of a large deployment at 76 % of its capacity. Each of 59 hosts sends a sixtieth.
+//!
+//! In both, two thirds of the servers are slower than the others, and each has three slots and a queue of twelve. Four
+//! strategies choose servers by the same expected latency:
 //!
 //! - each host uses only its own observations, of all servers alike;
 //! - the same, but each host prefers a subset of the servers, as in production;
@@ -37,9 +41,17 @@
 const LARGE: Scenario = Scenario { hosts: 59, servers: 53, work_s: 0.35, objective_s: 1.0 };
 
 const SLOTS: usize = 3;
+
+/// Requests that a server accepts at the same time, in its slots and its queue.
 const CAPACITY: usize = 15;
+
+/// Speeds of the servers relative to their mean; server `n` has the speed at `n` modulo 3.
 const SPEEDS: [f64; 3] = [0.7, 0.7, 1.6];
+
+/// Servers that a host tries for one request.
 const MAX_SENDS: usize = 3;
+
+/// Seconds between two exchanges of the requests in flight.
 const EXCHANGE_S: f64 = 0.25;
 
 #[derive(Clone, Copy, PartialEq)]
--- a/crates/jacinthbeam-host/src/connection/pool.rs
+++ b/crates/jacinthbeam-host/src/connection/pool.rs
@@ -23,14 +23,14 @@
 
 /// Timeout of a connection attempt.
 ///
-/// A new connection takes a few milliseconds. One that is not established within a quarter of a second is on a broken network
-/// path, or at a server whose accept queue is full.
+/// A new connection takes a few milliseconds. One that is not established within this time is on a broken network path, or
+/// at a server whose accept queue is full.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Longest idle time of a connection, also if the server announces a longer one or none.
 ///
-/// A request that is sent while the server closes the connection may have run as far as this host can tell, so an order would
-/// be lost.
+/// A request that is sent while the server closes the connection may have run as far as this host can tell, so a request that is
+/// not idempotent can't be retried.
 const MAX_IDLE: Duration = Duration::from_secs(4);
 
 /// Margin below the server's announced idle timeout, for the time that its close takes to arrive.
--- a/crates/jacinthbeam-host/src/operators.rs
+++ b/crates/jacinthbeam-host/src/operators.rs
@@ -1,4 +1,4 @@
-//! Client of the operators' port of a running host, for commands and experiments.
+//! Client of the operators' port of a running host, for commands.
 
 use std::{fmt, net::SocketAddr, time::Duration};
 
--- a/crates/jacinthbeam-host/src/process/control/registration.rs
+++ b/crates/jacinthbeam-host/src/process/control/registration.rs
@@ -13,7 +13,8 @@
 use super::input::{Input, Tx};
 use crate::process::peers::{HostEntry, order};
 
-/// Bounds of the backoff after failed reads of the list. A host without the list has no other source, and a whole fleet may be in that state.
+/// Bounds of the backoff after failed reads of the list. A host without the list can only poll the seed hosts of its settings, if there are
+/// any, and a whole fleet may be in that state.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(250);
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
@@ -36,9 +37,9 @@
 
 /// Reads the list of hosts, writes this host's entry unless it is listed already, and sends the list to the control thread.
 ///
-/// This costs one read per starting host, and one write per new one. A new host waits until all that start with it have registered. If its
-/// first read listed no host before it in the order of its failure domain, it then reads the list once more; otherwise it would read the
-/// whole store itself, as would every host registered later that precedes it in the order.
+/// This costs one read per starting host, and one write per new one. A new host waits until all that start with it have registered. A
+/// host that found no predecessor in the order of its failure domain then reads the list again, to find predecessors that registered
+/// meanwhile; without this, all of them would read the store.
 pub(super) async fn run(registration: Registration) {
     let listed = registration.read().await;
     if order::has(&registration.host, &registration.entry, &listed) {
--- a/crates/jacinthbeam-host/src/process/control/state.rs
+++ b/crates/jacinthbeam-host/src/process/control/state.rs
@@ -88,7 +88,7 @@
     pub(super) evidence: watch::Sender<Bytes>,
     /// Whether this process has read the list of hosts from the store, and the evidence in the same partition.
     pub(super) has_read_hosts: bool,
-    /// LogPosition up to which crash facts are to be sent to other hosts without waiting for the next request.
+    /// Log position up to which crash facts are to be sent to other hosts without waiting for the next request.
     pub(super) push_end: watch::Sender<LogPosition>,
     /// How recent this host's knowledge of the store is.
     pub(super) contact: Rc<StoreContact>,
--- a/crates/jacinthbeam-host/src/process/control/update_client.rs
+++ b/crates/jacinthbeam-host/src/process/control/update_client.rs
@@ -25,7 +25,7 @@
 #[derive(Debug, Clone)]
 pub(super) struct UpdateClient {
     pub(super) clock: Arc<dyn Clock>,
-    /// LogPosition up to which this host's crash facts are to be sent without waiting for the next request.
+    /// Log position up to which this host's crash facts are to be sent without waiting for the next request.
     pub(super) push_end: watch::Receiver<LogPosition>,
     pub(super) tx: Tx,
 }
--- a/crates/jacinthbeam-host/src/process/membership/lease.rs
+++ b/crates/jacinthbeam-host/src/process/membership/lease.rs
@@ -8,8 +8,8 @@
 /// The lease on the duties of one host, as the host can compute it.
 ///
 /// A host that the store refuses doesn't learn that its duties were reassigned. Without a lease of its own it would claim leadership from the
-/// new host as soon as it reached the store again, and that one would claim it back. Each claim begins with a round of grants to every server;
-/// in simulations a third of all lookups were refused from then on.
+/// new host as soon as it reached the store again, and that one would claim it back. Each claim begins with a round of grants to every server, and
+/// a third of all lookups were refused from then on.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct DutyLease {
     /// No other host is assigned the duties before this time; `None` if there is no lease.
--- a/crates/jacinthbeam-host/src/process/replica/mod.rs
+++ b/crates/jacinthbeam-host/src/process/replica/mod.rs
@@ -41,7 +41,8 @@
     /// The latest incarnation that was listed under the name.
     life: ServerId,
     server: Option<Server>,
-    /// When the store accepted the record that the server is leaving or has left.
+    /// Lower bound of the time at which the store accepted the record that the server is leaving or has left; `None` if there is
+    /// no such record.
     leaving: Option<Leaving>,
     /// When the server will be warm; `None` unless it is cold.
     warm_at: Option<Instant>,
@@ -145,7 +146,7 @@
         }
     }
 
-    /// Replaces the requests with crash evidence.
+    /// Sets the suspected requests.
     pub fn set_suspects(&mut self, suspects: Suspects) {
         self.suspects = Arc::new(suspects);
     }
@@ -194,8 +195,8 @@
         self.lines.add(&before.life, before.server.as_ref(), server.as_ref());
         let changed = before.server != server;
         let life = server.as_ref().map_or_else(|| before.life.clone(), |server| server.id.clone());
-        // An expired entry that reappears belongs to a server that is still running. That an earlier incarnation was leaving says nothing
-        // about the present one.
+        // A later record of the same incarnation keeps the first bound. An earlier incarnation's bound doesn't apply to a new one.
+        // A server whose entry expired and reappears is still running and no longer counts as leaving.
         let since = before.leaving.filter(|_| life == before.life).unwrap_or(bound);
         before.leaving = is_leaving(server.as_ref()).then_some(since);
         before.life = life;
--- a/crates/jacinthbeam-host/src/request/job.rs
+++ b/crates/jacinthbeam-host/src/request/job.rs
@@ -39,7 +39,7 @@
     /// Metering of the team that is charged for the request.
     pub(super) usage: Use,
     pub(super) received: Instant,
-    /// When the response is due: after the caller's deadline or the route's timeout, whichever is shorter.
+    /// When the response is due: the caller's or the route's timeout after `received`, whichever is shorter.
     pub(super) deadline: Instant,
 }
 
--- a/crates/jacinthbeam-host/src/request/send.rs
+++ b/crates/jacinthbeam-host/src/request/send.rs
@@ -45,8 +45,7 @@
 /// Time for hyper to mark the connection as ready after a response. It takes one poll of the connection's task.
 const READY_TIMEOUT: Duration = Duration::from_millis(5);
 
-/// How much longer than the deadline given to the server its response is awaited, so that the server's own answer to a passed
-/// deadline still arrives.
+/// Time past the deadline for which a response is still awaited, so that the server's own answer to a passed deadline arrives.
 const RESPONSE_GRACE: Duration = Duration::from_millis(60);
 
 /// Counts a request as in flight at a server until dropped.
--- a/crates/jacinthbeam-host/src/settings.rs
+++ b/crates/jacinthbeam-host/src/settings.rs
@@ -23,11 +23,11 @@
     pub callers: SocketAddr,
     /// Address of the readiness check for the load balancer.
     pub ready: SocketAddr,
-    /// Address for reports of other hosts.
+    /// Address for datagrams and update requests of other hosts.
     pub peers: SocketAddr,
-    /// Report addresses of some other hosts, for a start while the store is unavailable. They may be outdated.
+    /// Such addresses of some other hosts, for a start while the store is unavailable. They may be outdated.
     pub seeds: Vec<SocketAddr>,
-    /// Address for metrics and the dump.
+    /// Address of the operators' port: metrics, status, dump, and letting quarantined requests through.
     pub metrics: SocketAddr,
     /// Address of the platform's store.
     pub store: SocketAddr,
@@ -40,7 +40,7 @@
     /// Time after which no request may reach a backend server of an evacuated failure domain, from the operator's record in the
     /// store.
     pub evacuate_within: Duration,
-    /// How far a cold server may get more than its rate.
+    /// By how much the rate limit of a cold server may be exceeded.
     pub slow_start: slow_start::Bounds,
     /// Time after which a configuration must be in effect, from the acknowledgement of its publication.
     pub config_within: Duration,
--- a/crates/jacinthbeam-route/src/config.rs
+++ b/crates/jacinthbeam-route/src/config.rs
@@ -40,7 +40,8 @@
 /// Rate limit of the cold servers of a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SlowStart {
-    /// How long a server stays cold after its start or after it was evacuated.
+    /// How long a server stays cold after the end of an evacuation of its failure domain. After its start, it is cold for as long
+    /// as its own entry says.
     pub lasts: Duration,
     /// Requests per second from all hosts together.
     pub rate: Rate,
