--- a/crates/jacinthbeam-dispatch/src/budget.rs
+++ b/crates/jacinthbeam-dispatch/src/budget.rs
@@ -73,7 +73,7 @@
     ///
     /// A restarted process has lost the count of what it used in the current window. If all hosts restart together, they would
     /// use the burst twice, so each uses at most half of its part.
-    fn fixed(&self) -> f64 {
+    fn burst_share(&self) -> f64 {
         match self.hosts {
             0 => 0.0,
             hosts => self.options.burst / f64::from(hosts) / STARTS_PER_WINDOW,
@@ -113,7 +113,7 @@
             self.sum((begin + 1).saturating_sub(back), end, |bucket| bucket.requests)
         };
         let mean = (requests(0) + requests(HALF_WINDOW) + requests(BUCKETS_PER_WINDOW)) / 3.0;
-        self.options.ratio * mean + self.fixed() - retries
+        self.options.ratio * mean + self.burst_share() - retries
     }
 
     /// Sum over the buckets `first..end`.
--- a/crates/jacinthbeam-host/src/process/control/calls.rs
+++ b/crates/jacinthbeam-host/src/process/control/calls.rs
@@ -41,13 +41,13 @@
 #[derive(Debug, Clone)]
 pub(super) struct Leadership {
     pub(super) epoch: Epoch,
-    pub(super) leads: LeadEpoch,
+    pub(super) lead_epoch: LeadEpoch,
 }
 
 impl Leadership {
     /// Whether this process still leads in the epoch of the call.
     fn is_current(&self) -> bool {
-        self.leads.get() == Some(self.epoch)
+        self.lead_epoch.get() == Some(self.epoch)
     }
 }
 
@@ -68,22 +68,23 @@
 
     /// Closes idle connections to servers other than these.
     pub(super) fn keep_only(&mut self, addrs: &[SocketAddr]) {
-        self.connections.retain(|addr, line| addrs.contains(addr) || Rc::strong_count(line) > 1);
+        self.connections
+            .retain(|addr, connection| addrs.contains(addr) || Rc::strong_count(connection) > 1);
     }
 
     /// Sends grants to one server, one after the other, while the leadership is current and until the deadline `until`, and only over the
-    /// connection that the time `connection` identifies. The result is sent as [`Event::Granted`].
+    /// connection that the time `opened_at` identifies. The result is sent as [`Event::Granted`].
     pub(super) fn grant(
         &mut self,
         service: ServiceName,
         to: Owner,
         calls: Vec<RangeGrant>,
-        connection: Option<Instant>,
+        opened_at: Option<Instant>,
         until: Instant,
         leadership: Leadership,
     ) {
         let new = || Rc::new(GrantConnection::new(to.addr));
-        let line = self.connections.entry(to.addr).or_insert_with(new).clone();
+        let connection = self.connections.entry(to.addr).or_insert_with(new).clone();
         let (wire, clock, tx) = (self.wire, self.clock.clone(), self.tx.clone());
         spawn_local(async move {
             let mut round = Round::new();
@@ -91,7 +92,7 @@
             let mut calls = calls;
             fastrand::shuffle(&mut calls);
             for call in &calls {
-                if !round.check_connection(&*clock, &line, connection).await {
+                if !round.check_connection(&*clock, &connection, opened_at).await {
                     break;
                 }
                 // Checked right before each call: this process may have been suspended or replaced since the round was ordered.
@@ -99,7 +100,7 @@
                     round.outcome = Outcome::NotSent;
                     break;
                 }
-                round.send(wire, &*clock, &line, &to, call).await;
+                round.send(wire, &*clock, &connection, &to, call).await;
                 if round.is_finished() {
                     break;
                 }
@@ -208,11 +209,11 @@
     async fn check_connection(
         &mut self,
         clock: &dyn Clock,
-        line: &GrantConnection,
-        connection: Option<Instant>,
+        connection: &GrantConnection,
+        opened_at: Option<Instant>,
     ) -> bool {
-        match line.open(clock).await {
-            Ok(at) if Some(at) == connection => return true,
+        match connection.open(clock).await {
+            Ok(at) if Some(at) == opened_at => return true,
             Ok(at) => self.outcome = Outcome::Opened(at),
             Err(_) => {
                 self.outcome = Outcome::Silent;
@@ -227,12 +228,14 @@
         &mut self,
         wire: Wire,
         clock: &dyn Clock,
-        line: &GrantConnection,
+        connection: &GrantConnection,
         to: &Owner,
         call: &RangeGrant,
     ) {
-        let answer =
-            line.line.exchange_kept((wire.grant_request)(to, call, HOLD), GRANT_TIMEOUT).await;
+        let answer = connection
+            .line
+            .exchange_kept((wire.grant_request)(to, call, HOLD), GRANT_TIMEOUT)
+            .await;
         let granted = match answer {
             Ok(res) => (wire.parse_grant_response)(to, &res),
             Err(line::Error::NotSent(_)) => {
@@ -256,8 +259,8 @@
 }
 
 fn log_round(service: &ServiceName, to: &Owner, round: &Round, calls: usize) {
-    let is_calm = matches!(round.outcome, Outcome::Answered | Outcome::Opened(_));
-    if is_calm && round.refused.is_empty() {
+    let is_routine = matches!(round.outcome, Outcome::Answered | Outcome::Opened(_));
+    if is_routine && round.refused.is_empty() {
         tracing::debug!(part = "grant", event = "round", service = %service, server = %to.server, calls = %calls, outcome = ?round.outcome);
         return;
     }
--- a/crates/jacinthbeam-host/src/process/control/crashes.rs
+++ b/crates/jacinthbeam-host/src/process/control/crashes.rs
@@ -10,7 +10,7 @@
 use jacinthbeam_store::{Backoff, Call, Item, Lane, Partition};
 use tokio::sync::watch;
 
-use super::{cross_domain, feed, state::Control, update_client::Topic};
+use super::{cross_domain, feed, state::Control, update_client::UpdateScope};
 use crate::process::peers::update::{StateUpdate, UpdateRequest};
 
 /// Shortest interval between two publications of crash facts. When a failure domain loses power, hundreds of facts arrive within a second, and
@@ -75,11 +75,11 @@
     }
 
     /// The request to send to the host at `of`.
-    pub(super) fn build_request(&self, of: SocketAddr, topic: Topic) -> UpdateRequest {
+    pub(super) fn build_request(&self, of: SocketAddr, scope: UpdateScope) -> UpdateRequest {
         let now = self.clock.now();
-        let mut request = match topic {
-            Topic::All => self.replica.update_request(feed::MAX_WAIT),
-            Topic::Crashes => UpdateRequest {
+        let mut request = match scope {
+            UpdateScope::All => self.replica.update_request(feed::MAX_WAIT),
+            UpdateScope::Crashes => UpdateRequest {
                 only_crashes: true,
                 wait: cross_domain::MAX_WAIT,
                 ..UpdateRequest::default()
--- a/crates/jacinthbeam-host/src/process/control/cross_domain.rs
+++ b/crates/jacinthbeam-host/src/process/control/cross_domain.rs
@@ -9,7 +9,7 @@
 use jacinthbeam_types::prelude::*;
 use tokio::{sync::watch, task::spawn_local};
 
-use super::update_client::{Topic, UpdateClient};
+use super::update_client::{UpdateClient, UpdateScope};
 use crate::process::peers::{
     link::Link,
     order::{Neighbour, Neighbours},
@@ -77,7 +77,7 @@
             if !*task.direct.borrow() {
                 return;
             }
-            if let Err(why) = task.client.ask(&mut link, *addr, Topic::Crashes).await {
+            if let Err(why) = task.client.ask(&mut link, *addr, UpdateScope::Crashes).await {
                 break why;
             }
         },
--- a/crates/jacinthbeam-host/src/process/control/feed.rs
+++ b/crates/jacinthbeam-host/src/process/control/feed.rs
@@ -12,7 +12,7 @@
 
 use super::{
     contact::StoreContact,
-    update_client::{MIN_POLL_PAUSE, Topic, UpdateClient},
+    update_client::{MIN_POLL_PAUSE, UpdateClient, UpdateScope},
 };
 use crate::process::peers::{
     link::Link,
@@ -47,7 +47,7 @@
     let mut sources = SourceSelector::default();
     loop {
         let known = feed.neighbours.borrow_and_update().clone();
-        if !feed.seeds.is_empty() && source::should_ask_seeds(known.as_ref(), feed.age()) {
+        if !feed.seeds.is_empty() && source::should_poll_seeds(known.as_ref(), feed.age()) {
             feed.poll_seed().await;
             continue;
         }
@@ -55,12 +55,12 @@
             feed.pause(RECHECK_INTERVAL).await;
             continue;
         };
-        let lost = *feed.direct.borrow() && !feed.is_store_answering();
+        let store_unanswered = *feed.direct.borrow() && !feed.is_store_answering();
         let pick = |addrs: &[SocketAddr]| fastrand::choice(addrs).copied();
-        match sources.next(feed.now(), &neighbours, lost, pick) {
+        match sources.next(feed.now(), &neighbours, store_unanswered, pick) {
             Action::Ask(host) => follow_host(&feed, &mut sources, &host).await,
             Action::Wait(pause) => {
-                if lost {
+                if store_unanswered {
                     set_direct(&feed, false);
                 }
                 tokio::time::sleep(pause.max(MIN_POLL_PAUSE)).await;
@@ -74,10 +74,10 @@
                 };
                 feed.pause(pause).await;
             }
-            Action::AskForHelp(addr) => {
+            Action::PollFallback(addr) => {
                 set_direct(&feed, true);
                 poll_for_help(&feed, addr).await;
-                sources.on_no_help(addr, feed.now());
+                sources.on_unusable_fallback(addr, feed.now());
             }
         }
     }
@@ -127,7 +127,7 @@
     let mut follows = false;
     let no_answer = match Link::open(*addr).await {
         Ok(mut link) => loop {
-            match feed.client.ask(&mut link, *addr, Topic::All).await {
+            match feed.client.ask(&mut link, *addr, UpdateScope::All).await {
                 Ok(answer) => {
                     let (reads, now) = (feed.is_store_answering(), feed.now());
                     if !sources.on_answer(host, answer, reads, now) {
@@ -148,7 +148,7 @@
         Err(err) => Some((NoAnswer::Silent, err.to_string())),
     };
     if follows {
-        sources.on_lost();
+        sources.on_source_lost();
     }
     if let Some((why, error)) = no_answer {
         tracing::info!(part = "feed", event = "passed-over", host = %host, error = %error);
@@ -166,8 +166,8 @@
     };
     let mut has_helped = false;
     while !feed.is_store_answering() {
-        match feed.client.ask(&mut link, addr, Topic::All).await {
-            Ok(answer) if answer.helps() => {
+        match feed.client.ask(&mut link, addr, UpdateScope::All).await {
+            Ok(answer) if answer.is_usable_fallback() => {
                 if !std::mem::replace(&mut has_helped, true) {
                     tracing::info!(part = "feed", event = "helped", asked = %addr, steps = %answer.steps);
                 }
--- a/crates/jacinthbeam-host/src/process/control/granting.rs
+++ b/crates/jacinthbeam-host/src/process/control/granting.rs
@@ -70,8 +70,10 @@
         }
         if !self.granting.contains_key(name) {
             let grantor = Grantor::new(name.clone(), self.me.clone());
-            self.granting
-                .insert(name.clone(), Granting { grantor, leads: Rc::default(), broadcast: None });
+            self.granting.insert(
+                name.clone(),
+                Granting { grantor, lead_epoch: Rc::default(), broadcast: None },
+            );
             let duty = self.duties.contains(&number);
             self.step(name, Event::Duty(duty));
             self.notify_grantor(name, number, self.clock.now());
@@ -223,7 +225,7 @@
         let actions = granting.grantor.step(view, event);
         let leads = granting.grantor.leads();
         let epoch = granting.grantor.map().map(|map| map.epoch);
-        granting.leads.set(epoch.filter(|_| leads));
+        granting.lead_epoch.set(epoch.filter(|_| leads));
         if led != leads {
             tracing::info!(part = "grant", event = "leads", service = %service, leads = %leads, epoch = ?epoch);
         }
@@ -237,9 +239,9 @@
 
     /// The leadership that this process holds for a service now; `None` if it doesn't lead.
     fn leadership(&self, service: &ServiceName) -> Option<Leadership> {
-        let leads = self.granting.get(service)?.leads.clone();
-        let epoch = leads.get()?;
-        Some(Leadership { epoch, leads })
+        let lead_epoch = self.granting.get(service)?.lead_epoch.clone();
+        let epoch = lead_epoch.get()?;
+        Some(Leadership { epoch, lead_epoch })
     }
 
     pub(super) fn execute(&mut self, service: &ServiceName, action: Action) {
--- a/crates/jacinthbeam-host/src/process/control/input.rs
+++ b/crates/jacinthbeam-host/src/process/control/input.rs
@@ -8,7 +8,7 @@
 use jacinthbeam_types::prelude::*;
 use tokio::sync::{mpsc::UnboundedSender, oneshot};
 
-use super::update_client::Topic;
+use super::update_client::UpdateScope;
 use crate::process::{
     inbox::{InputKind, Waiting},
     peers::{
@@ -82,7 +82,7 @@
         /// Address of that host.
         of: SocketAddr,
         /// What was requested.
-        topic: Topic,
+        scope: UpdateScope,
         /// Lower bound on when that host answered.
         answered: Instant,
         /// The update.
@@ -93,7 +93,7 @@
         /// Address of that host.
         of: SocketAddr,
         /// What to request.
-        topic: Topic,
+        scope: UpdateScope,
         /// Receives the request to send.
         reply: oneshot::Sender<UpdateRequest>,
     },
--- a/crates/jacinthbeam-host/src/process/control/learn.rs
+++ b/crates/jacinthbeam-host/src/process/control/learn.rs
@@ -7,7 +7,7 @@
 use jacinthbeam_store::{Item, keyed::Changes};
 use jacinthbeam_types::prelude::*;
 
-use super::{crashes::EVIDENCE_PREFIX, state::Control, update_client::Topic};
+use super::{crashes::EVIDENCE_PREFIX, state::Control, update_client::UpdateScope};
 use crate::{
     process::{
         peers::{HostEntry, order::Neighbours, update::StateUpdate},
@@ -154,14 +154,14 @@
     pub(super) fn on_update(
         &mut self,
         of: SocketAddr,
-        topic: Topic,
+        scope: UpdateScope,
         answered: Instant,
         mut update: StateUpdate,
     ) {
         if let Some(crashes) = update.crashes.take() {
             self.on_peer_crashes(of, crashes);
         }
-        if topic == Topic::Crashes {
+        if scope == UpdateScope::Crashes {
             return;
         }
         let as_of = answered.checked_sub(update.age);
@@ -203,7 +203,7 @@
         let cold = self.cold_servers();
         let mut view = self.replica.view();
         view.cold = Arc::new(cold);
-        view.subset_position = self.replica.place(&self.me.host);
+        view.subset_position = self.replica.position(&self.me.host);
         view.rank = self.replica.rank(&self.me.host);
         self.counters.evacuated.record(view.evacuated.len() as u64, &[]);
         self.counters.cold.record(view.cold.len() as u64, &[]);
--- a/crates/jacinthbeam-host/src/process/control/mod.rs
+++ b/crates/jacinthbeam-host/src/process/control/mod.rs
@@ -89,23 +89,23 @@
     pub(super) ready: TcpListener,
     pub(super) metrics: TcpListener,
     /// For datagrams between hosts.
-    pub(super) reports: UdpSocket,
+    pub(super) datagrams: UdpSocket,
     /// For other hosts' update requests.
-    pub(super) news: TcpListener,
+    pub(super) updates: TcpListener,
 }
 
 pub(super) async fn run(mut start: Start, sockets: Sockets) {
     let (to, mut rx) = mpsc::unbounded_channel();
     let tx = Tx { clock: start.clock.clone(), to };
     let mut inbox = Inbox::new(Input::kind);
-    let Sockets { ready, metrics, reports, news } = sockets;
+    let Sockets { ready, metrics, datagrams, updates } = sockets;
     serve_pages(&start, ready, metrics, &tx);
-    let reports = match tokio::net::UdpSocket::from_std(reports) {
+    let reports = match tokio::net::UdpSocket::from_std(datagrams) {
         Ok(socket) => Rc::new(socket),
         Err(err) => return tracing::error!(part = "peers", event = "no-socket", error = ?err),
     };
     spawn_local(receive_datagrams(reports.clone(), tx.clone()));
-    spawn_local(serve_news(news, tx.clone(), start.view.subscribe()));
+    spawn_local(serve_updates(updates, tx.clone(), start.view.subscribe()));
     spawn_local(tick(tx.clone()));
     spawn_local(await_stop(start.phase.clone(), tx.clone()));
     let mut served = std::mem::replace(&mut start.served, oneshot::channel().1);
@@ -158,7 +158,7 @@
     control.finish_batch();
 }
 
-async fn serve_news(listener: TcpListener, tx: Tx, changes: watch::Receiver<Arc<View>>) {
+async fn serve_updates(listener: TcpListener, tx: Tx, changes: watch::Receiver<Arc<View>>) {
     let find = move |request: UpdateRequest| {
         let (tx, changes) = (tx.clone(), changes.clone());
         let max_wait = if request.only_crashes { cross_domain::MAX_WAIT } else { feed::MAX_WAIT };
--- a/crates/jacinthbeam-host/src/process/control/registration.rs
+++ b/crates/jacinthbeam-host/src/process/control/registration.rs
@@ -42,7 +42,7 @@
 /// meanwhile; without this, all of them would read the store.
 pub(super) async fn run(registration: Registration) {
     let listed = registration.read().await;
-    if order::has(&registration.host, &registration.entry, &listed) {
+    if order::is_listed(&registration.host, &registration.entry, &listed) {
         return registration.report(listed);
     }
     registration.write_entry().await;
--- a/crates/jacinthbeam-host/src/process/control/state.rs
+++ b/crates/jacinthbeam-host/src/process/control/state.rs
@@ -51,7 +51,7 @@
 #[derive(Debug)]
 pub(super) struct Granting {
     pub(super) grantor: Grantor,
-    pub(super) leads: LeadEpoch,
+    pub(super) lead_epoch: LeadEpoch,
     /// When this host last broadcast gates or a heartbeat for the service.
     pub(super) broadcast: Option<Instant>,
 }
@@ -161,13 +161,17 @@
     pub(super) fn start_tasks(&mut self) {
         let store_layout = self.wire.store_layout;
         let enabled = self.direct.subscribe();
-        let once = Duration::ZERO;
-        self.follow((store_layout.operator)(), OPERATOR_MAX_WAIT, once, enabled.clone(), |read| {
-            Input::Operator(read.as_of(), read.changes)
-        });
+        let (no_wait, no_pause) = (Duration::ZERO, Duration::ZERO);
+        self.follow(
+            (store_layout.operator)(),
+            OPERATOR_MAX_WAIT,
+            no_pause,
+            enabled.clone(),
+            |read| Input::Operator(read.as_of(), read.changes),
+        );
         self.follow(
             (store_layout.servers)(),
-            once,
+            no_wait,
             SERVERS_READ_INTERVAL,
             enabled.clone(),
             |read| Input::Servers(read.sent_at, read.changes),
@@ -252,12 +256,12 @@
             Input::Maps { partition, sent_at, changes } => {
                 self.on_maps(partition, sent_at, changes)
             }
-            Input::PeerUpdate { of, topic, answered, update } => {
-                self.on_update(of, topic, answered, *update)
+            Input::PeerUpdate { of, scope, answered, update } => {
+                self.on_update(of, scope, answered, *update)
             }
-            Input::BuildRequest { of, topic, reply } => {
+            Input::BuildRequest { of, scope, reply } => {
                 // The requesting task may have been cancelled.
-                let _ = reply.send(self.build_request(of, topic));
+                let _ = reply.send(self.build_request(of, scope));
             }
             Input::PeerRequest { request, reply } => {
                 // As above.
--- a/crates/jacinthbeam-host/src/process/control/update_client.rs
+++ b/crates/jacinthbeam-host/src/process/control/update_client.rs
@@ -14,7 +14,7 @@
 
 /// What to request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Topic {
+pub(super) enum UpdateScope {
     /// All data of the store, and crash facts.
     All,
     /// Crash facts only.
@@ -39,10 +39,10 @@
         &self,
         link: &mut Link,
         of: SocketAddr,
-        topic: Topic,
+        scope: UpdateScope,
     ) -> Result<Answer, String> {
         loop {
-            let request = self.build_request(of, topic).await.ok_or("the process ends")?;
+            let request = self.build_request(of, scope).await.ok_or("the process ends")?;
             let sent_at = self.clock.now();
             let update = tokio::select! {
                 update = link.ask(&request) => update.map_err(|err| err.to_string())?,
@@ -56,15 +56,15 @@
             if update.is_empty() {
                 tokio::time::sleep(MIN_POLL_PAUSE).await;
             }
-            let input = Input::PeerUpdate { of, topic, answered, update: Box::new(update) };
+            let input = Input::PeerUpdate { of, scope, answered, update: Box::new(update) };
             self.tx.send(input).map_err(|_| "the process ends")?;
             return Ok(answer);
         }
     }
 
-    async fn build_request(&self, of: SocketAddr, topic: Topic) -> Option<UpdateRequest> {
+    async fn build_request(&self, of: SocketAddr, scope: UpdateScope) -> Option<UpdateRequest> {
         let (reply, request) = oneshot::channel();
-        self.tx.send(Input::BuildRequest { of, topic, reply }).ok()?;
+        self.tx.send(Input::BuildRequest { of, scope, reply }).ok()?;
         request.await.ok()
     }
 
--- a/crates/jacinthbeam-host/src/process/evacuation.rs
+++ b/crates/jacinthbeam-host/src/process/evacuation.rs
@@ -84,7 +84,7 @@
         let last = Offset(end.0.saturating_sub(1));
         let mut changed = false;
         for domain in missing {
-            changed |= self.take(domain, last, false, Leaving::LongAgo, now);
+            changed |= self.take(domain, last, false, Leaving::Unbounded, now);
         }
         changed
     }
@@ -121,7 +121,7 @@
         let newer = self.of.iter().filter(|(_, entry)| entry.offset >= end);
         let update = |(domain, entry): (&FailureDomain, &Entry)| {
             let (evacuated, age) = match entry.state {
-                State::Evacuated(Leaving::LongAgo) => (true, None),
+                State::Evacuated(Leaving::Unbounded) => (true, None),
                 State::Evacuated(Leaving::Since(at)) => (true, Some(at)),
                 State::Returned(at) => (false, Some(at)),
             };
@@ -141,7 +141,7 @@
         let mut changed = false;
         for EvacuationUpdate { domain, offset, evacuated, age } in updates {
             let told = age.and_then(|age| at.checked_sub(age));
-            let since = bound.closer(Leaving::after(told));
+            let since = bound.tighter(Leaving::after(told));
             changed |= self.take(domain, offset, evacuated, since, told.unwrap_or(at));
         }
         changed
--- a/crates/jacinthbeam-host/src/process/mod.rs
+++ b/crates/jacinthbeam-host/src/process/mod.rs
@@ -139,8 +139,8 @@
     let control_sockets = control::Sockets {
         ready: sockets.ready,
         metrics: sockets.metrics,
-        reports: sockets.reports,
-        news: sockets.news,
+        datagrams: sockets.reports,
+        updates: sockets.news,
     };
     let traffic = traffic::Start {
         settings: settings.clone(),
--- a/crates/jacinthbeam-host/src/process/peers/order.rs
+++ b/crates/jacinthbeam-host/src/process/peers/order.rs
@@ -40,9 +40,10 @@
         }
         let mut neighbours = Self::default();
         for (domain, mut hosts) in domains {
-            hosts.sort_unstable_by_key(|(host, entry)| place(host, entry));
+            hosts.sort_unstable_by_key(|(host, entry)| sort_key(host, entry));
             if *domain == own.domain {
-                let at = hosts.partition_point(|(host, entry)| place(host, entry) < place(me, own));
+                let at = hosts
+                    .partition_point(|(host, entry)| sort_key(host, entry) < sort_key(me, own));
                 neighbours.before = to_neighbours(&hosts[..at]);
                 neighbours.after = to_neighbours(&hosts[at..]);
             } else {
@@ -59,7 +60,7 @@
     }
 }
 
-fn place<'a>(host: &'a HostId, entry: &HostEntry) -> (Reverse<Millicores>, &'a HostId) {
+fn sort_key<'a>(host: &'a HostId, entry: &HostEntry) -> (Reverse<Millicores>, &'a HostId) {
     (Reverse(entry.processor), host)
 }
 
@@ -68,7 +69,7 @@
 }
 
 /// Whether the list contains exactly this entry of a host.
-pub fn has(me: &HostId, own: &HostEntry, listed: &Changes) -> bool {
+pub fn is_listed(me: &HostId, own: &HostEntry, listed: &Changes) -> bool {
     let own = own.to_bytes();
     listed.items.iter().any(|item| item.key == me.as_str() && item.value == own)
 }
--- a/crates/jacinthbeam-host/src/process/peers/source.rs
+++ b/crates/jacinthbeam-host/src/process/peers/source.rs
@@ -48,7 +48,7 @@
 const MAX_UNREACHABLE_BACKOFF: Duration = Duration::from_secs(24);
 
 /// Pause before asking a host for help again that had no fresher data.
-const HELP_RETRY_PAUSE: Duration = Duration::from_secs(1);
+const FALLBACK_RETRY_PAUSE: Duration = Duration::from_secs(1);
 
 /// Largest number of hosts that data may have passed before the host that is followed: the reader of another domain and one of its followers.
 /// Without a bound, data passes from host to host down a domain: the last of 23 hosts learned of a leaving server 1.4 s after the first.
@@ -78,14 +78,14 @@
     }
 
     /// Whether the data is of use to a host that others follow.
-    pub fn helps(self) -> bool {
+    pub fn is_usable_fallback(self) -> bool {
         self.is_fresh() && self.steps < MAX_STEPS
     }
 }
 
 /// Whether a host should poll the seed hosts in its settings: it knows no other host, since the store that holds the list of hosts refuses it,
 /// and its data is stale.
-pub fn should_ask_seeds(known: Option<&Neighbours>, age: Duration) -> bool {
+pub fn should_poll_seeds(known: Option<&Neighbours>, age: Duration) -> bool {
     known.is_none_or(Neighbours::is_empty) && age > MAX_STALENESS
 }
 
@@ -108,7 +108,7 @@
     /// Read the store.
     ReadStore,
     /// Keep calling the store, and meanwhile poll this host, which doesn't precede it.
-    AskForHelp(SocketAddr),
+    PollFallback(SocketAddr),
 }
 
 /// Result of polling a host that isn't followed.
@@ -130,20 +130,20 @@
     polled: BTreeMap<HostId, PollResult>,
     /// Preceding hosts that call a store that doesn't answer them, and until when that counts.
     retrying: BTreeMap<HostId, Instant>,
-    no_help: BTreeMap<SocketAddr, Instant>,
+    fallback_retry_at: BTreeMap<SocketAddr, Instant>,
 }
 
 impl SourceSelector {
-    /// What to do now. `lost` is true if this host calls the store without getting answers; `pick` chooses one of several addresses.
+    /// What to do now. `store_unanswered` is true if this host calls the store without getting answers; `pick` chooses one of several addresses.
     pub fn next(
         &mut self,
         now: Instant,
         neighbours: &Neighbours,
-        lost: bool,
+        store_unanswered: bool,
         pick: impl Fn(&[SocketAddr]) -> Option<SocketAddr>,
     ) -> Action {
         self.retrying.retain(|_, until| now < *until);
-        self.no_help.retain(|_, until| now < *until);
+        self.fallback_retry_at.retain(|_, until| now < *until);
         let reachable = self.reachable(now, &neighbours.before);
         if let Some(host) = reachable.iter().find(|(host, _)| self.next_poll(host) <= Some(now)) {
             return Action::Ask((*host).clone());
@@ -156,8 +156,8 @@
             let until = next_poll.into_iter().chain(turn).min().unwrap_or(now);
             return Action::Wait(until.saturating_duration_since(now));
         }
-        let help = if lost { pick(&self.helpers(neighbours)) } else { None };
-        help.map_or(Action::ReadStore, Action::AskForHelp)
+        let help = if store_unanswered { pick(&self.fallback_hosts(neighbours)) } else { None };
+        help.map_or(Action::ReadStore, Action::PollFallback)
     }
 
     /// The first preceding hosts that are not known to be unreachable.
@@ -184,8 +184,8 @@
     }
 
     /// Hosts to poll while the store doesn't answer this one: those of its own domain first, to avoid traffic between domains.
-    fn helpers(&self, neighbours: &Neighbours) -> Vec<SocketAddr> {
-        let is_open = |addr: &SocketAddr| !self.no_help.contains_key(addr);
+    fn fallback_hosts(&self, neighbours: &Neighbours) -> Vec<SocketAddr> {
+        let is_open = |addr: &SocketAddr| !self.fallback_retry_at.contains_key(addr);
         let near = neighbours.after.iter().take(MAX_RETRYING_HOSTS).map(|(_, addr)| *addr);
         let near: Vec<_> = near.filter(is_open).collect();
         if !near.is_empty() {
@@ -245,12 +245,12 @@
     }
 
     /// A host that was polled for help had no fresher data.
-    pub fn on_no_help(&mut self, addr: SocketAddr, now: Instant) {
-        self.no_help.insert(addr, now + HELP_RETRY_PAUSE);
+    pub fn on_unusable_fallback(&mut self, addr: SocketAddr, now: Instant) {
+        self.fallback_retry_at.insert(addr, now + FALLBACK_RETRY_PAUSE);
     }
 
     /// The followed host was lost. Earlier results of polling other hosts are outdated, except for unreachable ones.
-    pub fn on_lost(&mut self) {
+    pub fn on_source_lost(&mut self) {
         self.polled.retain(|_, polled| polled.unreachable);
         self.retrying.clear();
     }
--- a/crates/jacinthbeam-host/src/process/replica/hosts.rs
+++ b/crates/jacinthbeam-host/src/process/replica/hosts.rs
@@ -26,7 +26,7 @@
     }
 
     /// The position of a host among those of its failure domain.
-    pub fn place(&self, host: &HostId) -> Position {
+    pub fn position(&self, host: &HostId) -> Position {
         let Some((_, own)) = self.hosts.get(host) else { return Position::default() };
         let near = self.hosts.iter().filter(|(_, (_, entry))| entry.domain == own.domain);
         let among = near.clone().count() as u32;
--- a/crates/jacinthbeam-host/src/process/replica/listing.rs
+++ b/crates/jacinthbeam-host/src/process/replica/listing.rs
@@ -37,7 +37,7 @@
             list.insert(server);
         }
         self.list = Arc::new(list);
-        let leaving = |entry: &Entry| Some((entry.life.clone(), entry.leaving?));
+        let leaving = |entry: &Entry| Some((entry.incarnation.clone(), entry.leaving?));
         self.leaving = Arc::new(self.servers.values().filter_map(leaving).collect());
     }
 
--- a/crates/jacinthbeam-host/src/process/replica/mod.rs
+++ b/crates/jacinthbeam-host/src/process/replica/mod.rs
@@ -39,7 +39,7 @@
 struct Entry {
     offset: Offset,
     /// The latest incarnation that was listed under the name.
-    life: ServerId,
+    incarnation: ServerId,
     server: Option<Server>,
     /// Lower bound of the time at which the store accepted the record that the server is leaving or has left; `None` if there is
     /// no such record.
@@ -74,7 +74,7 @@
     /// Requests with crash evidence, as of the last [`StoreReplica::set_suspects`].
     suspects: Arc<Suspects>,
     /// Changes of servers that are not logged yet.
-    lines: ServerLines,
+    pending_log_lines: ServerLines,
 }
 
 /// What an update changed.
@@ -177,10 +177,11 @@
     ) -> bool {
         let Some(before) = self.servers.get_mut(&name) else {
             let changed = server.is_some();
-            let life = server.as_ref().map_or_else(|| name.clone().into(), |s| s.id.clone());
-            self.lines.add(&life, None, server.as_ref());
+            let incarnation = server.as_ref().map_or_else(|| name.clone().into(), |s| s.id.clone());
+            self.pending_log_lines.add(&incarnation, None, server.as_ref());
             let leaving = is_leaving(server.as_ref()).then_some(bound);
-            self.servers.insert(name, Entry { offset, life, server, leaving, warm_at: None });
+            self.servers
+                .insert(name, Entry { offset, incarnation, server, leaving, warm_at: None });
             return changed;
         };
         if before.offset >= offset {
@@ -188,18 +189,19 @@
         }
         before.offset = offset;
         // The store may accept a late heartbeat of an earlier incarnation after the first one of the next incarnation.
-        if server.as_ref().is_some_and(|server| server.id.born() < before.life.born()) {
+        if server.as_ref().is_some_and(|server| server.id.born() < before.incarnation.born()) {
             tracing::info!(part = "servers", event = "late-entry", server = %name, of = ?server.map(|s| s.id.to_string()));
             return false;
         }
-        self.lines.add(&before.life, before.server.as_ref(), server.as_ref());
+        self.pending_log_lines.add(&before.incarnation, before.server.as_ref(), server.as_ref());
         let changed = before.server != server;
-        let life = server.as_ref().map_or_else(|| before.life.clone(), |server| server.id.clone());
+        let incarnation =
+            server.as_ref().map_or_else(|| before.incarnation.clone(), |server| server.id.clone());
         // A later record of the same incarnation keeps the first bound. An earlier incarnation's bound doesn't apply to a new one.
         // A server whose entry expired and reappears is still running and no longer counts as leaving.
-        let since = before.leaving.filter(|_| life == before.life).unwrap_or(bound);
+        let since = before.leaving.filter(|_| incarnation == before.incarnation).unwrap_or(bound);
         before.leaving = is_leaving(server.as_ref()).then_some(since);
-        before.life = life;
+        before.incarnation = incarnation;
         if changed {
             before.warm_at = None;
         }
@@ -221,7 +223,7 @@
         changed: bool,
         now: Instant,
     ) {
-        self.lines.write();
+        self.pending_log_lines.write();
         self.servers_end = self.servers_end.max(end);
         self.servers_as_of = self.servers_as_of.max(as_of);
         if changed || self.servers_changed.is_none() {
@@ -332,7 +334,7 @@
         }
         for ServerUpdate { name, offset, server, leaving_for } in update.servers {
             let accepted = Leaving::after(leaving_for.and_then(|span| at.checked_sub(span)));
-            changed.servers |= self.apply_server(name, offset, server, bound.closer(accepted));
+            changed.servers |= self.apply_server(name, offset, server, bound.tighter(accepted));
         }
         if update.servers_end > Offset(0) {
             let as_of = at.checked_sub(update.age);
--- a/crates/jacinthbeam-host/src/request/crash.rs
+++ b/crates/jacinthbeam-host/src/request/crash.rs
@@ -77,14 +77,14 @@
 
     /// Records the outcome of a send. Returns whether the server is known to have crashed under the request.
     ///
-    /// With `waits`, waits up to [`LIVENESS_WAIT`] for the liveness check after a broken connection; without it, the check runs
-    /// in the background.
+    /// With `wait_for_check`, waits up to [`LIVENESS_WAIT`] for the liveness check after a broken connection; without it, the
+    /// check runs in the background.
     pub(super) async fn on_sent(
         self,
         server: &Server,
         max_connections: u32,
         sent: &SendOutcome,
-        waits: bool,
+        wait_for_check: bool,
     ) -> bool {
         match sent {
             SendOutcome::Answered { success: true, .. } => {
@@ -101,7 +101,7 @@
                 let (traffic, server) = (self.traffic.clone(), server.clone());
                 let check = async move { check_liveness(&traffic, &server, max_connections).await };
                 let check = spawn_local(check);
-                if !waits {
+                if !wait_for_check {
                     return false;
                 }
                 matches!(tokio::time::timeout(LIVENESS_WAIT, check).await, Ok(Ok(true)))
@@ -167,11 +167,13 @@
     // Uses the current view: the server may have announced that it is draining while the requests ran.
     let view = traffic.view();
     let leaving = view.leaving.get(&server.id).map(|leaving| leaving.elapsed(now));
-    let had_said =
+    let had_announced_drain =
         |at: Instant| leaving.is_some_and(|since| since >= now.saturating_duration_since(at));
-    for Running { request, caller, at } in running.into_iter().filter(|r| !had_said(r.at)) {
+    for Running { request, caller, at } in
+        running.into_iter().filter(|r| !had_announced_drain(r.at))
+    {
         let outcome = Outcome::Crashed { server: server.id.clone(), caller };
         traffic.tell_crash(Fact { request, outcome, at });
     }
-    !had_said(now)
+    !had_announced_drain(now)
 }
--- a/crates/jacinthbeam-host/src/request/job.rs
+++ b/crates/jacinthbeam-host/src/request/job.rs
@@ -101,15 +101,15 @@
     }
 
     /// Time left of the share of the objective that the request may wait, bounded by the deadline.
-    pub(super) fn wait_left(&self, part: f64) -> Duration {
-        let until = (self.received + self.route.objective.mul_f64(part)).min(self.deadline);
+    pub(super) fn wait_left(&self, share: f64) -> Duration {
+        let until = (self.received + self.route.objective.mul_f64(share)).min(self.deadline);
         until.saturating_duration_since(self.traffic.now())
     }
 
     /// Whether the request may wait any longer. It may not while the process stops: the caller is refused while that is still
     /// possible, and retries at another host.
-    pub(super) fn may_wait(&self, part: f64) -> bool {
-        !self.traffic.is_stopping() && !self.wait_left(part).is_zero()
+    pub(super) fn may_wait(&self, share: f64) -> bool {
+        !self.traffic.is_stopping() && !self.wait_left(share).is_zero()
     }
 }
 
--- a/crates/jacinthbeam-host/src/request/serve.rs
+++ b/crates/jacinthbeam-host/src/request/serve.rs
@@ -128,9 +128,9 @@
 fn is_admitted(job: &Job, view: &View, key: Key) -> bool {
     let owner = view.maps.get(&job.service).and_then(|map| map.lookup(key).owner.clone());
     let owner = owner.map(|owner| owner.server);
-    let rank = job.route.priority;
-    job.traffic.on_keyed_request(&job.service, key, owner.as_ref(), rank);
-    owner.is_none_or(|owner| job.traffic.lets_in(&owner, rank))
+    let priority = job.route.priority;
+    job.traffic.on_keyed_request(&job.service, key, owner.as_ref(), priority);
+    owner.is_none_or(|owner| job.traffic.lets_in(&owner, priority))
 }
 
 fn find_route(cfg: &Config, parts: &http::request::Parts) -> Option<Arc<Route>> {
@@ -203,7 +203,7 @@
             crashed.insert(server.id.clone());
         }
         let retry = retry && job.crash_tracker().may_retry(&job.traffic.view(), &crashed);
-        last = Some(more_severe(last, sent));
+        last = Some(outcome_to_report(last, sent));
         if !retry || job.left().is_zero() {
             return finish(&job, last, &tried);
         }
@@ -215,7 +215,7 @@
 
 /// Returns the outcome of two sends that is reported to the caller: a request that ran or may have run takes precedence over
 /// one that did not run.
-fn more_severe(earlier: Option<SendOutcome>, later: SendOutcome) -> SendOutcome {
+fn outcome_to_report(earlier: Option<SendOutcome>, later: SendOutcome) -> SendOutcome {
     match (earlier, later) {
         (
             Some(earlier @ (SendOutcome::Answered { .. } | SendOutcome::Lost(_))),
--- a/crates/jacinthbeam-host/src/version/view.rs
+++ b/crates/jacinthbeam-host/src/version/view.rs
@@ -116,21 +116,21 @@
     /// Not before this moment.
     Since(Instant),
     /// No lower bound is known.
-    LongAgo,
+    Unbounded,
 }
 
 impl Leaving {
     /// Bound from a read of the store at `as_of` that didn't contain the record; `None` if there is none.
     pub fn after(as_of: Option<Instant>) -> Self {
-        as_of.map_or(Self::LongAgo, Self::Since)
+        as_of.map_or(Self::Unbounded, Self::Since)
     }
 
     /// The later, that is tighter, of two lower bounds that both hold.
     #[must_use]
-    pub fn closer(self, other: Self) -> Self {
+    pub fn tighter(self, other: Self) -> Self {
         match (self, other) {
             (Self::Since(at), Self::Since(other)) => Self::Since(at.max(other)),
-            (Self::LongAgo, bound) | (bound, Self::LongAgo) => bound,
+            (Self::Unbounded, bound) | (bound, Self::Unbounded) => bound,
         }
     }
 
@@ -138,7 +138,7 @@
     pub fn elapsed(self, now: Instant) -> Duration {
         match self {
             Self::Since(at) => now.saturating_duration_since(at),
-            Self::LongAgo => Duration::MAX,
+            Self::Unbounded => Duration::MAX,
         }
     }
 }
--- a/crates/jacinthbeam-host/tests/evacuation.rs
+++ b/crates/jacinthbeam-host/tests/evacuation.rs
@@ -83,7 +83,12 @@
     let mut known = StoreReplica::default();
     known.apply_evacuation(domain("a"), Offset(7), true, now);
     let server = server(1, "a");
-    known.apply_server(server.id.name().clone(), Offset(1), Some(server.clone()), Leaving::LongAgo);
+    known.apply_server(
+        server.id.name().clone(),
+        Offset(1),
+        Some(server.clone()),
+        Leaving::Unbounded,
+    );
     known.mark_servers_current(Offset(2), Some(now), true, now);
     assert!(!known.view().may_send(&server.id, now, GRACE));
 }
--- a/crates/jacinthbeam-host/tests/fleet/follow.rs
+++ b/crates/jacinthbeam-host/tests/fleet/follow.rs
@@ -38,7 +38,7 @@
         let host = &mut self.hosts[n];
         host.follows = None;
         host.silent_since = None;
-        host.sources.on_lost();
+        host.sources.on_source_lost();
         if let Some(why) = why {
             host.sources.on_no_answer(&id, why, at);
         }
@@ -71,14 +71,14 @@
     /// A host that another one helps, while the store gives it no answers.
     pub(super) fn help(&mut self, n: usize) {
         let Some(of) = self.hosts[n].helper else { return };
-        let helps = self.hosts[of].process == Process::Runs && self.answer(of).helps();
+        let helps = self.hosts[of].process == Process::Runs && self.answer(of).is_usable_fallback();
         if helps && !self.is_answered(n) {
             return self.hear(n, of);
         }
         let (addr, at) = (self.hosts[of].entry.addr, self.at());
         self.hosts[n].helper = None;
         self.hosts[n].wake_at = self.now;
-        self.hosts[n].sources.on_no_help(addr, at);
+        self.hosts[n].sources.on_unusable_fallback(addr, at);
     }
 
     pub(super) fn decide(&mut self, n: usize) {
@@ -102,7 +102,7 @@
                 let answered = self.is_answered(n);
                 self.hosts[n].wake_at = now + if answered { LOOK_AGAIN } else { LOOK_AGAIN_LOST };
             }
-            Action::AskForHelp(addr) => {
+            Action::PollFallback(addr) => {
                 host.direct = true;
                 host.wake_at = u64::MAX;
                 let of = self.find(addr);
--- a/crates/jacinthbeam-host/tests/fleet/mod.rs
+++ b/crates/jacinthbeam-host/tests/fleet/mod.rs
@@ -235,7 +235,7 @@
         let items = self.listed_items(n);
         let listed = Changes { items, end: Offset(0), whole: true };
         let (id, entry) = (self.hosts[n].id.clone(), self.hosts[n].entry.clone());
-        if order::has(&id, &entry, &listed) {
+        if order::is_listed(&id, &entry, &listed) {
             return self.learn_hosts(n);
         }
         self.calls += 1;
--- a/crates/jacinthbeam-host/tests/source.rs
+++ b/crates/jacinthbeam-host/tests/source.rs
@@ -9,7 +9,7 @@
 use jacinthbeam_host::process::peers::{
     HostEntry,
     order::{Neighbour, Neighbours},
-    source::{Action, Answer, MAX_STALENESS, NoAnswer, SourceSelector, should_ask_seeds},
+    source::{Action, Answer, MAX_STALENESS, NoAnswer, SourceSelector, should_poll_seeds},
 };
 use jacinthbeam_types::prelude::*;
 
@@ -53,9 +53,12 @@
 fn data_passes_few_hosts_on_its_way() {
     assert!(fresh(0).can_be_followed(false));
     assert!(fresh(2).can_be_followed(false) && !fresh(3).can_be_followed(false));
-    assert!(fresh(1).helps() && !fresh(2).helps(), "its followers would pass the data on");
+    assert!(
+        fresh(1).is_usable_fallback() && !fresh(2).is_usable_fallback(),
+        "its followers would pass the data on"
+    );
     let old = Answer { age: MAX_STALENESS + Duration::from_millis(1), ..fresh(0) };
-    assert!(!old.can_be_followed(false) && !old.helps());
+    assert!(!old.can_be_followed(false) && !old.is_usable_fallback());
 }
 
 /// Guards against two hosts that follow each other. The store refuses the first host of a domain, which polls the second, a reader. If the reader
@@ -78,15 +81,15 @@
     let next =
         |sources: &mut SourceSelector, now, lost| sources.next(now, &neighbours, lost, first);
     assert_eq!(next(&mut sources, now, false), Action::ReadStore);
-    assert_eq!(next(&mut sources, now, true), Action::AskForHelp(addr(2)));
+    assert_eq!(next(&mut sources, now, true), Action::PollFallback(addr(2)));
     // None of them has fresher data: the store refuses the whole domain.
-    sources.on_no_help(addr(2), now);
-    sources.on_no_help(addr(3), now);
-    assert_eq!(next(&mut sources, now, true), Action::AskForHelp(addr(7)));
-    sources.on_no_help(addr(7), now);
+    sources.on_unusable_fallback(addr(2), now);
+    sources.on_unusable_fallback(addr(3), now);
+    assert_eq!(next(&mut sources, now, true), Action::PollFallback(addr(7)));
+    sources.on_unusable_fallback(addr(7), now);
     assert_eq!(next(&mut sources, now, true), Action::ReadStore);
     let later = now + Duration::from_secs(2);
-    assert_eq!(next(&mut sources, later, true), Action::AskForHelp(addr(2)));
+    assert_eq!(next(&mut sources, later, true), Action::PollFallback(addr(2)));
 }
 
 /// Guards against waiting for unreachable hosts. Preceding hosts are polled in order, and one that doesn't answer is skipped for some seconds,
@@ -127,7 +130,7 @@
             }
             Action::Wait(pause) => now += pause,
             Action::ReadStore => break,
-            Action::AskForHelp(addr) => {
+            Action::PollFallback(addr) => {
                 panic!("{addr} is polled for help by a host that doesn't call the store")
             }
         }
@@ -176,11 +179,11 @@
 #[test]
 fn seeds_are_polled_while_no_host_is_known() {
     let old = MAX_STALENESS + Duration::from_millis(1);
-    assert!(should_ask_seeds(None, Duration::MAX));
-    assert!(should_ask_seeds(Some(&Neighbours::default()), old));
-    assert!(!should_ask_seeds(Some(&Neighbours::default()), Duration::ZERO), "the store answers");
+    assert!(should_poll_seeds(None, Duration::MAX));
+    assert!(should_poll_seeds(Some(&Neighbours::default()), old));
+    assert!(!should_poll_seeds(Some(&Neighbours::default()), Duration::ZERO), "the store answers");
     let known = Neighbours { far: far([host(7)]), ..Neighbours::default() };
-    assert!(!should_ask_seeds(Some(&known), old));
+    assert!(!should_poll_seeds(Some(&known), old));
 }
 
 /// Guards against small hosts as readers, and against hosts with different orders. A reader answers all other hosts of its domain, so hosts with
