--- a/crates/jacinthbeam-host/src/process/evacuation.rs
+++ b/crates/jacinthbeam-host/src/process/evacuation.rs
@@ -85,7 +85,7 @@
         let last = Offset(end.0.saturating_sub(1));
         let mut changed = false;
         for domain in missing {
-            changed |= self.apply(domain, last, false, Leaving::LongAgo, now);
+            changed |= self.apply(domain, last, false, Leaving::Unbounded, now);
         }
         changed
     }
@@ -122,7 +122,7 @@
         let newer = self.by_domain.iter().filter(|(_, entry)| entry.offset >= end);
         let update = |(domain, entry): (&FailureDomain, &Entry)| {
             let (evacuated, age) = match entry.state {
-                State::Evacuated(Leaving::LongAgo) => (true, None),
+                State::Evacuated(Leaving::Unbounded) => (true, None),
                 State::Evacuated(Leaving::Since(at)) => (true, Some(at)),
                 State::Returned(at) => (false, Some(at)),
             };
@@ -143,7 +143,7 @@
         let mut changed = false;
         for EvacuationUpdate { domain, offset, evacuated, age } in updates {
             let began = age.and_then(|age| at.checked_sub(age));
-            let since = bound.closer(Leaving::after(began));
+            let since = bound.tighter(Leaving::after(began));
             changed |= self.apply(domain, offset, evacuated, since, began.unwrap_or(at));
         }
         changed
--- a/crates/jacinthbeam-host/tests/evacuation.rs
+++ b/crates/jacinthbeam-host/tests/evacuation.rs
@@ -87,7 +87,7 @@
         server.id.name().clone(),
         Offset(1),
         Some(server.clone()),
-        Leaving::LongAgo,
+        Leaving::Unbounded,
     );
     replica.mark_servers_current(Offset(2), Some(now), true, now);
     assert!(!replica.view().may_send(&server.id, now, GRACE));
--- a/crates/jacinthbeam-host/tests/fleet/follow.rs
+++ b/crates/jacinthbeam-host/tests/fleet/follow.rs
@@ -38,7 +38,7 @@
         let host = &mut self.hosts[n];
         host.follows = None;
         host.unresponsive_since = None;
-        host.sources.on_lost();
+        host.sources.on_source_lost();
         if let Some(why) = why {
             host.sources.on_no_answer(&id, why, at);
         }
@@ -71,14 +71,15 @@
     /// Lets host `n` receive from the host that helps it while the store doesn't respond to `n`.
     pub(super) fn help(&mut self, n: usize) {
         let Some(peer) = self.hosts[n].helper else { return };
-        let can_help = self.hosts[peer].process == Process::Runs && self.answer(peer).helps();
+        let can_help =
+            self.hosts[peer].process == Process::Runs && self.answer(peer).is_usable_fallback();
         if can_help && !self.is_answered(n) {
             return self.receive(n, peer);
         }
         let (addr, at) = (self.hosts[peer].entry.addr, self.at());
         self.hosts[n].helper = None;
         self.hosts[n].wake_at = self.now;
-        self.hosts[n].sources.on_no_help(addr, at);
+        self.hosts[n].sources.on_unusable_fallback(addr, at);
     }
 
     pub(super) fn decide(&mut self, n: usize) {
@@ -106,7 +107,7 @@
                 self.hosts[n].wake_at =
                     now + if answered { SOURCE_CHECK_MS } else { SOURCE_CHECK_LOST_MS };
             }
-            Action::AskForHelp(addr) => {
+            Action::PollFallback(addr) => {
                 host.direct = true;
                 host.wake_at = u64::MAX;
                 let peer = self.host_at(addr);
